--- a/src/libs/calls/sharedcrashguard.cpp
+++ b/src/libs/calls/sharedcrashguard.cpp
@@ -32,13 +32,13 @@
 void SharedCrashGuard::NoteAnswered(const std::string& digest) {
   if (!m_is_on) return;
   const std::lock_guard lock(m_lock);
-  m_guard.NoteCompleted(digest, MonotonicNow());
+  m_guard.RecordCompletion(digest, MonotonicNow());
 }
 
 void SharedCrashGuard::NoteCompletedHere(const std::string& digest) {
   if (!m_is_on) return;
   const std::lock_guard lock(m_lock);
-  const bool was_suspect = m_guard.NoteCompleted(digest, MonotonicNow());
+  const bool was_suspect = m_guard.RecordCompletion(digest, MonotonicNow());
   if (was_suspect && m_cleared.size() < kMaxCleared) m_cleared.push_back(digest);
 }
 
@@ -63,7 +63,7 @@
 std::vector<std::string> SharedCrashGuard::ConfirmCrash() {
   const std::lock_guard lock(m_lock);
   std::vector<std::string> digests = std::exchange(m_aborted, {}).digests;
-  LogBanned(m_guard.NoteCrash(digests, MonotonicNow()));
+  LogBanned(m_guard.RecordCrash(digests, MonotonicNow()));
   return digests;
 }
 
@@ -87,8 +87,8 @@
   const std::lock_guard lock(m_lock);
   if (!IsNew(peer, report)) return;
   const TimePoint now = MonotonicNow();
-  if (report.completed()) return m_guard.NoteReportedCompletion(peer, digests, now);
-  LogBanned(m_guard.NoteReportedCrash(peer, digests, now));
+  if (report.completed()) return m_guard.RecordReportedCompletion(peer, digests, now);
+  LogBanned(m_guard.RecordReportedCrash(peer, digests, now));
 }
 
 bool SharedCrashGuard::IsNew(const BackendServerId& peer, const wire::CrashReport& report) {
--- a/src/libs/calls/sharedrouter.cpp
+++ b/src/libs/calls/sharedrouter.cpp
@@ -4,8 +4,8 @@
 
 namespace damaskhollow {
 
-SharedRouter::SharedRouter(const std::string& strategy, Place place, std::uint64_t seed)
-    : m_router(strategy, std::move(place), seed) {}
+SharedRouter::SharedRouter(const std::string& strategy, NodeLocation location, std::uint64_t seed)
+    : m_router(strategy, std::move(location), seed) {}
 
 void SharedRouter::SetDeclaration(std::shared_ptr<const Declaration> declaration) {
   const std::lock_guard lock(m_lock);
@@ -25,7 +25,7 @@
 void SharedRouter::NoteState(const BackendServerId& server, const wire::OwnerState& state) {
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
-  m_clocks.Note(server, Incarnation{state.incarnation()}, state.clock_us(), now);
+  m_clocks.RecordReading(server, Incarnation{state.incarnation()}, state.clock_us(), now);
   ReportedLoad load;
   load.incarnation = Incarnation{state.incarnation()};
   load.in_flight = state.in_flight();
@@ -34,25 +34,26 @@
   load.queue_delay = Duration(static_cast<Duration::rep>(state.queue_delay_us()));
   load.service_time = Duration(static_cast<Duration::rep>(state.service_time_us()));
   load.draining = state.draining();
-  m_router.NoteLoad(server, load, now);
+  m_router.RecordLoad(server, load, now);
 }
 
-void SharedRouter::NoteSent(const BackendServerId& server, CallId attempt,
-                            std::size_t priority_index) {
+void SharedRouter::RecordSent(const BackendServerId& server, CallId attempt,
+                              std::size_t priority_index) {
   const std::lock_guard lock(m_lock);
   ++m_outstanding[server];
-  m_router.NoteSent(server, attempt, priority_index, MonotonicNow());
+  m_router.RecordSent(server, attempt, priority_index, MonotonicNow());
 }
 
-void SharedRouter::NoteEnded(const BackendServerId& server, CallId attempt, AttemptResult result) {
+void SharedRouter::RecordEnded(const BackendServerId& server, CallId attempt,
+                               AttemptResult result) {
   const std::lock_guard lock(m_lock);
   --m_outstanding[server];
-  m_router.NoteEnded(server, attempt, result, MonotonicNow());
+  m_router.RecordEnded(server, attempt, result, MonotonicNow());
 }
 
-void SharedRouter::NotePaidLinkBytes(std::size_t bytes) {
+void SharedRouter::RecordPaidLinkBytes(std::size_t bytes) {
   const std::lock_guard lock(m_lock);
-  m_router.NotePaidLinkBytes(bytes, MonotonicNow());
+  m_router.RecordPaidLinkBytes(bytes, MonotonicNow());
 }
 
 std::size_t SharedRouter::Outstanding(const BackendServerId& server) const {
@@ -79,19 +80,19 @@
   return m_router.Choose(request, now);
 }
 
-std::vector<BackendServerId> SharedRouter::ServersToAsk(const RoutingRequest& request,
-                                                        std::size_t most) {
+std::vector<BackendServerId> SharedRouter::ServersToQuery(const RoutingRequest& request,
+                                                          std::size_t max_servers) {
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
   m_used.insert(request.service);
   if (m_gate != nullptr && !m_gate->IsOpen(now)) return {};
-  return m_router.ServersToAsk(request, most, now);
+  return m_router.ServersToQuery(request, max_servers, now);
 }
 
 RoutingChoice SharedRouter::ChooseAmong(const RoutingRequest& request,
-                                        std::span<const LoadOffer> offers) {
+                                        std::span<const LoadEstimate> estimates) {
   const std::lock_guard lock(m_lock);
-  return m_router.ChooseAmong(request, offers, MonotonicNow());
+  return m_router.ChooseAmong(request, estimates, MonotonicNow());
 }
 
 std::optional<ExpiryStamp> SharedRouter::Stamp(const BackendServerId& server,
--- a/src/libs/calls/sharedrouter.h
+++ b/src/libs/calls/sharedrouter.h
@@ -22,7 +22,7 @@
 // The router and the owners' clocks, shared by the ingress shards under one lock.
 class SharedRouter {
  public:
-  SharedRouter(const std::string& strategy, Place place, std::uint64_t seed);
+  SharedRouter(const std::string& strategy, NodeLocation location, std::uint64_t seed);
 
   void SetDeclaration(std::shared_ptr<const Declaration> declaration);
   void SetEligible(const BackendServerId& server, bool eligible);
@@ -31,14 +31,14 @@
   // Notes what an owner says of itself.
   void NoteState(const BackendServerId& server, const wire::OwnerState& state);
 
-  void NoteSent(const BackendServerId& server, CallId attempt, std::size_t priority_index);
-  void NoteEnded(const BackendServerId& server, CallId attempt, AttemptResult result);
+  void RecordSent(const BackendServerId& server, CallId attempt, std::size_t priority_index);
+  void RecordEnded(const BackendServerId& server, CallId attempt, AttemptResult result);
 
   // Attempts sent to the server that have not ended.
   std::size_t Outstanding(const BackendServerId& server) const;
 
   // Notes bytes of an answer from another region.
-  void NotePaidLinkBytes(std::size_t bytes);
+  void RecordPaidLinkBytes(std::size_t bytes);
 
   // No server is chosen while the gate is closed. Must be called before the first choice.
   void SetViewGate(const ViewGate* gate) { m_gate = gate; }
@@ -50,8 +50,9 @@
   std::vector<BackendServerId> SubsetOf(const ServiceId& service) const;
 
   RoutingChoice Choose(const RoutingRequest& request);
-  std::vector<BackendServerId> ServersToAsk(const RoutingRequest& request, std::size_t most);
-  RoutingChoice ChooseAmong(const RoutingRequest& request, std::span<const LoadOffer> offers);
+  std::vector<BackendServerId> ServersToQuery(const RoutingRequest& request,
+                                              std::size_t max_servers);
+  RoutingChoice ChooseAmong(const RoutingRequest& request, std::span<const LoadEstimate> estimates);
   std::optional<ExpiryStamp> Stamp(const BackendServerId& server, Duration remaining) const;
 
  private:
--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -123,7 +123,7 @@
     return AnswerReason(exchange, reason);
   }
   m_budgets = declaration->budgets;
-  m_retries.NoteFirstAttempt(call.call_class.service, m_budgets, call.started);
+  m_retries.RecordFirstAttempt(call.call_class.service, m_budgets, call.started);
   if (!m_timer.isActive()) m_timer.start(kTick);
   Route(exchange, call);
 }
@@ -152,12 +152,12 @@
   const bool may_ask = m_context.convention.decode_load != nullptr &&
                        call.call_class.request_id.empty() && call.attempts.empty();
   if (!may_ask) return false;
-  const std::vector<BackendServerId> servers = m_context.router.ServersToAsk(
+  const std::vector<BackendServerId> servers = m_context.router.ServersToQuery(
       RequestOf(call, call.call_class.may_cross_regions), kServersAsked);
   if (servers.empty()) return false;
   call.question = m_next_attempt++ * m_count + m_index;
   call.unanswered = servers.size();
-  call.offers.clear();
+  call.estimates.clear();
   m_questions[call.question] = exchange;
   const std::uint64_t question = call.question;
   QTimer::singleShot(kAskTime, &m_timer, [this, exchange, question] {
@@ -179,7 +179,7 @@
   if (found == m_questions.end()) return;
   const ExchangeId exchange = found->second;
   PendingCall& call = m_calls.at(exchange);
-  call.offers.push_back({owner, Duration(static_cast<Duration::rep>(answer.expected_us()))});
+  call.estimates.push_back({owner, Duration(static_cast<Duration::rep>(answer.expected_us()))});
   if (--call.unanswered == 0) EndQuestion(exchange, call);
 }
 
@@ -187,8 +187,8 @@
   m_questions.erase(std::exchange(call.question, 0));
   const TimePoint now = MonotonicNow();
   if (call.deadline <= now) return AnswerReason(exchange, Reason::kDeadlineExceeded);
-  const RoutingChoice choice =
-      m_context.router.ChooseAmong(RequestOf(call, call.call_class.may_cross_regions), call.offers);
+  const RoutingChoice choice = m_context.router.ChooseAmong(
+      RequestOf(call, call.call_class.may_cross_regions), call.estimates);
   RouteTo(exchange, call, choice, now);
 }
 
@@ -242,7 +242,7 @@
     message.mutable_call_request()->set_target_at_us(
         static_cast<std::uint64_t>(std::max<std::int64_t>(target, 1)));
   }
-  m_context.router.NoteSent(server, id, call.call_class.priority_index);
+  m_context.router.RecordSent(server, id, call.call_class.priority_index);
   m_log.Step("sent", call.log_id)
       .With("server", server.Value())
       .With("attempt", static_cast<std::int64_t>(id.value))
@@ -311,11 +311,11 @@
   if (chunk.has_head()) {
     attempt->status = chunk.head().status();
     attempt->is_error = chunk.head().status() >= kFirstErrorStatus;
-    m_retries.NoteAnswerTime(m_calls.at(exchange).call_class.service,
-                             MonotonicNow() - attempt->sent);
+    m_retries.RecordResponseTime(m_calls.at(exchange).call_class.service,
+                                 MonotonicNow() - attempt->sent);
   }
   ++attempt->next_sequence;
-  if (attempt->crosses_regions) NotePaidLinkBytes(chunk.ByteSizeLong());
+  if (attempt->crosses_regions) RecordPaidLinkBytes(chunk.ByteSizeLong());
   const AttemptResult result = attempt->is_error ? AttemptResult::kError : AttemptResult::kAnswered;
   CallerConnection& caller = *m_connections.at(exchange.connection);
   caller.SendBody(exchange.number, chunk.data());
@@ -334,9 +334,9 @@
   caller.FinishAnswer(exchange.number);
 }
 
-void IngressShard::NotePaidLinkBytes(std::size_t bytes) {
+void IngressShard::RecordPaidLinkBytes(std::size_t bytes) {
   m_context.metrics.Add(Metric::kCallPaidLinkBytes, bytes);
-  m_context.router.NotePaidLinkBytes(bytes);
+  m_context.router.RecordPaidLinkBytes(bytes);
 }
 
 void IngressShard::AllowReturn(PendingCall& call, const BackendServerId& server, Reason reason) {
@@ -396,7 +396,7 @@
   failed.proved_not_run = proved_not_run;
   failed.idempotent = call.call_class.idempotent;
   failed.attempts = call.arrivals + call.attempts.size();
-  failed.most_attempts = MostArrivals(call);
+  failed.max_attempts = MostArrivals(call);
   failed.refusals = call.refusals;
   failed.reached_server = !proved_not_run || ReachedServer(reason);
   return m_retries.DecideRetry(failed, m_budgets, MonotonicNow());
@@ -468,8 +468,8 @@
   Attempt* attempt = FindAttempt(id);
   if (attempt == nullptr) return;
   attempt->in_doubt = false;
-  switch (JudgeStatus(attempt->expiry.incarnation, Incarnation{status.state().incarnation()},
-                      static_cast<CallProgress>(status.call_state()), status.answer_follows())) {
+  switch (EvaluateStatus(attempt->expiry.incarnation, Incarnation{status.state().incarnation()},
+                         static_cast<CallProgress>(status.call_state()), status.answer_follows())) {
     case AttemptVerdict::kWait:
       return;
     case AttemptVerdict::kNotRun:
@@ -502,7 +502,7 @@
 void IngressShard::EndAttempt(CallId id, AttemptResult result) {
   const auto found = m_attempts.find(id);
   if (found == m_attempts.end()) return;
-  m_context.router.NoteEnded(found->second.server, id, result);
+  m_context.router.RecordEnded(found->second.server, id, result);
   std::erase(m_calls.at(found->second.exchange).attempts, id);
   m_attempts.erase(found);
 }
@@ -557,7 +557,7 @@
   }
   m_context.metrics.CountRefusal(reason);
   const ReasonAnswer answer =
-      AnswerFor(reason, outcome, m_context.convention, AdviseReturn(m_random));
+      AnswerFor(reason, outcome, m_context.convention, RandomRetryAfter(m_random));
   m_log.Failure("call_failed", log_id, reason)
       .With("outcome", OutcomeName(outcome))
       .With("status", answer.head.status)
@@ -674,7 +674,7 @@
   const RoutingChoice choice = Choose(call, false);
   if (choice.refusal != Reason::kNone) return;
   const auto expiry = m_context.router.Stamp(choice.server, call.deadline - now);
-  if (!expiry || !m_retries.TakeHedge(call.call_class.service, m_budgets, now)) return;
+  if (!expiry || !m_retries.TryConsumeHedge(call.call_class.service, m_budgets, now)) return;
   call.hedged = true;
   m_context.metrics.Add(Metric::kHedges);
   SendAttempt(exchange, call, choice, *expiry);
--- a/src/libs/ingress/ingressshard.h
+++ b/src/libs/ingress/ingressshard.h
@@ -96,7 +96,7 @@
     CallId relayed;                   // The attempt whose answer goes to the caller; 0 for none.
     std::uint64_t question = 0;       // Names the load queries that are out; 0 for none.
     std::size_t unanswered = 0;       // Of them.
-    std::vector<LoadOffer> offers;
+    std::vector<LoadEstimate> estimates;
     bool waiting = false;  // For a server that can take it.
     TimePoint waiting_until{};
     bool hedged = false;
@@ -136,7 +136,7 @@
   void SendAttempt(ExchangeId exchange, PendingCall& call, const RoutingChoice& choice,
                    const ExpiryStamp& expiry);
   bool StartRelay(CallId id, const Attempt& attempt, const wire::ResponseHead& head);
-  void NotePaidLinkBytes(std::size_t bytes);
+  void RecordPaidLinkBytes(std::size_t bytes);
   void HandleChunk(const wire::ResponseChunk& chunk);
   // Lets a call try a server again whose link was at fault.
   static void AllowReturn(PendingCall& call, const BackendServerId& server, Reason reason);
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -31,7 +31,7 @@
       m_identity{m_settings.server_id, Incarnation{SystemSeed()}, WallNow()},
       m_body_budget(m_settings.body_memory_bytes),
       m_router(m_settings.routing_strategy,
-               Place{m_settings.server_id, m_settings.region, m_settings.data_centre},
+               NodeLocation{m_settings.server_id, m_settings.region, m_settings.data_centre},
                SystemSeed()),
       m_crash_guard(m_settings.crash_guard),
       m_owner(m_identity, m_metrics, *this, m_crash_guard, m_seams.convention, m_request_log),
--- a/src/libs/owner/claimservice.cpp
+++ b/src/libs/owner/claimservice.cpp
@@ -24,13 +24,13 @@
 
 void ClaimService::NotePeerState(const BackendServerId& peer, const wire::OwnerState& state,
                                  WallTime wall) {
-  m_registry.NoteVersion(peer, Incarnation{state.incarnation()}, state.configuration_version(),
-                         wall);
+  m_registry.RecordConfigurationVersion(peer, Incarnation{state.incarnation()},
+                                        state.configuration_version(), wall);
 }
 
 RequestDecision ClaimService::Start(OwnedCallId call, const std::string& request_id,
                                     std::string_view digest, TimePoint now, WallTime wall) {
-  RequestDecision decision = m_registry.Arrive(request_id, digest, m_absent_since, wall);
+  RequestDecision decision = m_registry.RegisterArrival(request_id, digest, m_absent_since, wall);
   if (decision.kind == RequestDecision::Kind::kRefuse ||
       decision.kind == RequestDecision::Kind::kReplay) {
     return decision;
@@ -40,10 +40,10 @@
   claim.is_accepted = decision.kind == RequestDecision::Kind::kAccept;
   if (claim.is_accepted) return decision;
   claim.query = m_next_query++;
-  claim.awaited = {decision.ask.begin(), decision.ask.end()};
+  claim.awaited = {decision.servers_to_query.begin(), decision.servers_to_query.end()};
   claim.give_up_at = now + kReleaseTimeout;
   m_queries[claim.query] = call;
-  for (const BackendServerId& server : decision.ask) {
+  for (const BackendServerId& server : decision.servers_to_query) {
     wire::Envelope message;
     message.mutable_claim_release()->set_query_id(claim.query);
     message.mutable_claim_release()->set_request_id(request_id);
@@ -54,7 +54,7 @@
 
 void ClaimService::HandleRelease(const ReplyRoute& route, const wire::ClaimRelease& release,
                                  const wire::OwnerState& state, WallTime wall) {
-  const ReleaseAnswer answer = m_registry.Release(release.request_id(), wall);
+  const ReleaseReply answer = m_registry.Release(release.request_id(), wall);
   wire::Envelope message;
   wire::ClaimReleased& released = *message.mutable_claim_released();
   released.set_query_id(release.query_id());
@@ -118,11 +118,11 @@
 void ClaimService::NoteChunk(OwnedCallId call, const wire::ResponseChunk& chunk) {
   const auto found = m_claims.find(call);
   if (found == m_claims.end()) return;
-  KeptRequestAnswer& answer = found->second.answer;
+  StoredResponse& answer = found->second.answer;
   if (chunk.has_head()) answer.head = chunk.head().SerializeAsString();
   // One byte over the limit is enough to show that the answer is too large.
-  if (answer.Bytes() > m_limits.answer_bytes) return;
-  answer.body.append(chunk.data(), 0, m_limits.answer_bytes + 1);
+  if (answer.Bytes() > m_limits.response_bytes) return;
+  answer.body.append(chunk.data(), 0, m_limits.response_bytes + 1);
 }
 
 void ClaimService::End(OwnedCallId call, ClaimEnd end, Reason reason) {
@@ -133,11 +133,11 @@
   m_queries.erase(claim.query);
   switch (end) {
     case ClaimEnd::kNotRun:
-      return m_registry.NoteNotRun(claim.request_id);
+      return m_registry.RecordNotRun(claim.request_id);
     case ClaimEnd::kRan:
-      return m_registry.NoteRan(claim.request_id, std::move(claim.answer));
+      return m_registry.RecordResponse(claim.request_id, std::move(claim.answer));
     case ClaimEnd::kMayHaveRun:
-      return m_registry.NoteUnknown(claim.request_id, reason);
+      return m_registry.RecordUnknownOutcome(claim.request_id, reason);
   }
 }
 
--- a/src/libs/owner/claimservice.h
+++ b/src/libs/owner/claimservice.h
@@ -46,8 +46,8 @@
   // Notes what another owner says of itself.
   void NotePeerState(const BackendServerId& peer, const wire::OwnerState& state, WallTime wall);
 
-  // Decides about a call with a request id. After kAsk the call is named by a SettledClaim. After
-  // kAccept and kAsk its end is to be reported by End.
+  // Decides about a call with a request id. After kQueryServers the call is named by a
+  // SettledClaim. After kAccept and kQueryServers its end is to be reported by End.
   RequestDecision Start(OwnedCallId call, const std::string& request_id, std::string_view digest,
                         TimePoint now, WallTime wall);
 
@@ -80,7 +80,7 @@
     std::uint64_t query = 0;  // 0 when no answer is awaited.
     std::set<BackendServerId> awaited;
     TimePoint give_up_at{};
-    KeptRequestAnswer answer;  // What has arrived of it, up to the limit.
+    StoredResponse answer;  // What has arrived of it, up to the limit.
   };
 
   SettledClaim Settle(std::map<std::uint64_t, OwnedCallId>::iterator query, Reason refusal);
--- a/src/libs/owner/ownedcalls.cpp
+++ b/src/libs/owner/ownedcalls.cpp
@@ -16,12 +16,13 @@
 SendDecision OwnedCalls::Arrive(const CallKey& key, const wire::CallRequest& request,
                                 TimePoint now) const {
   if (m_ids.contains(key)) return {Reason::kNone, true};
-  return m_guard.Arrive(key, Incarnation{request.owner_incarnation()}, request.expires_at_us(),
-                        ToClockMicroseconds(now));
+  return m_guard.CheckArrival(key, Incarnation{request.owner_incarnation()},
+                              request.expires_at_us(), ToClockMicroseconds(now));
 }
 
-void OwnedCalls::NoteRefused(const CallKey& key, const wire::CallRequest& request, TimePoint now) {
-  m_guard.NoteRefused(key, request.expires_at_us(), ToClockMicroseconds(now));
+void OwnedCalls::RecordRefused(const CallKey& key, const wire::CallRequest& request,
+                               TimePoint now) {
+  m_guard.RecordRefused(key, request.expires_at_us(), ToClockMicroseconds(now));
 }
 
 OwnedCallId OwnedCalls::Add(const CallKey& key, const ReplyRoute& route,
@@ -55,19 +56,19 @@
 
 void OwnedCalls::RemoveRefused(OwnedCallId id, TimePoint now) {
   const OwnedCall& call = m_calls.at(id);
-  NoteRefused(call.key, call.request, now);
+  RecordRefused(call.key, call.request, now);
   Remove(id);
 }
 
 void OwnedCalls::RemoveCancelled(OwnedCallId id, TimePoint now) {
   const OwnedCall& call = m_calls.at(id);
-  m_guard.NoteCancelled(call.key, call.request.expires_at_us(), ToClockMicroseconds(now));
+  m_guard.RecordCancelled(call.key, call.request.expires_at_us(), ToClockMicroseconds(now));
   Remove(id);
 }
 
 void OwnedCalls::RemoveRun(OwnedCallId id, TimePoint now) {
   const OwnedCall& call = m_calls.at(id);
-  m_guard.NoteEnded(call.key, call.request.expires_at_us(), ToClockMicroseconds(now));
+  m_guard.RecordEnded(call.key, call.request.expires_at_us(), ToClockMicroseconds(now));
   Remove(id);
 }
 
@@ -77,12 +78,12 @@
 }
 
 wire::CallState OwnedCalls::Settle(const CallKey& key, std::uint64_t expires_at_us, TimePoint now) {
-  switch (m_guard.Settle(key, expires_at_us, ToClockMicroseconds(now))) {
-    case EndedCall::kNeverSeen:
+  switch (m_guard.ResolveState(key, expires_at_us, ToClockMicroseconds(now))) {
+    case InactiveCallState::kNeverSeen:
       return wire::CALL_STATE_NEVER_SEEN;
-    case EndedCall::kNotRun:
+    case InactiveCallState::kNotRun:
       return wire::CALL_STATE_CANCELLED;
-    case EndedCall::kMayHaveRun:
+    case InactiveCallState::kMayHaveRun:
       break;
   }
   return wire::CALL_STATE_DONE;
--- a/src/libs/owner/ownedcalls.h
+++ b/src/libs/owner/ownedcalls.h
@@ -54,7 +54,7 @@
   SendDecision Arrive(const CallKey& key, const wire::CallRequest& request, TimePoint now) const;
 
   // Notes that a call was refused at its arrival.
-  void NoteRefused(const CallKey& key, const wire::CallRequest& request, TimePoint now);
+  void RecordRefused(const CallKey& key, const wire::CallRequest& request, TimePoint now);
 
   OwnedCallId Add(const CallKey& key, const ReplyRoute& route, wire::CallRequest request);
 
--- a/src/libs/owner/ownerservice.cpp
+++ b/src/libs/owner/ownerservice.cpp
@@ -113,7 +113,7 @@
   const SendDecision decision = CheckRequest(key, request, now);
   if (decision.ignore) return;  // Delivered twice.
   if (decision.refusal != Reason::kNone) {
-    m_calls.NoteRefused(key, request, now);
+    m_calls.RecordRefused(key, request, now);
     return Refuse(route, request.call_id(), decision.refusal, LogIdOf(request, m_convention));
   }
   const OwnedCallId id = m_calls.Add(key, route, std::move(request));
@@ -130,13 +130,13 @@
   switch (decision.kind) {
     case RequestDecision::Kind::kAccept:
       return Admit(id, now);
-    case RequestDecision::Kind::kAsk:
+    case RequestDecision::Kind::kQueryServers:
       call.state = OwnedCallState::kClaiming;
       return;
     case RequestDecision::Kind::kRefuse:
       return RefuseUnrun(id, decision.reason);
     case RequestDecision::Kind::kReplay:
-      return Replay(id, call, *decision.answer);
+      return Replay(id, call, *decision.response);
   }
 }
 
@@ -198,11 +198,11 @@
   answer.set_call_id(query.call_id());
   *answer.mutable_state() = LockedState();
   if (m_declaration) {
-    const Duration wait = m_admission.WaitOf(PriorityIndexOf(query.priority()));
+    const Duration wait = m_admission.ExpectedWaitOfPriority(PriorityIndexOf(query.priority()));
     const std::size_t slots = m_admission.Slots();
     const std::size_t in_flight = std::min(m_admission.Load().in_flight + 1, slots);
-    const Duration run =
-        m_pacer.Expected(PriorityId(query.priority()), in_flight, slots, MonotonicNow());
+    const Duration run = m_pacer.ExpectedTimeToResponse(PriorityId(query.priority()), in_flight,
+                                                        slots, MonotonicNow());
     answer.set_expected_us(static_cast<std::uint64_t>((wait + run).count()));
   }
   m_messenger.Reply(route, std::move(message));
@@ -230,7 +230,7 @@
 
 void OwnerService::NoteServerLoad(const ServerLoad& load, TimePoint now) {
   m_slowness = load.slowness;
-  m_pacer.NoteSlowness(load.slowness, now);
+  m_pacer.RecordSlowness(load.slowness, now);
 }
 
 bool OwnerService::IsKeptBack(OwnedCallId id, OwnedCall& call) {
@@ -261,7 +261,7 @@
   }
 }
 
-void OwnerService::Replay(OwnedCallId id, OwnedCall& call, const KeptRequestAnswer& answer) {
+void OwnerService::Replay(OwnedCallId id, OwnedCall& call, const StoredResponse& answer) {
   AnswerPart part;
   part.data = answer.body;
   part.last = true;
@@ -276,14 +276,14 @@
 void OwnerService::Dispatch(TimePoint now) {
   // After a pause, the next tick first refuses what has expired, and the view is refreshed.
   if (m_pause.IsOverdue(now) || !IsViewFresh(now)) return;
-  m_admission.SetMostInFlight(m_pacer.MostInFlight(m_admission.Slots()));
+  m_admission.SetMaxInFlight(m_pacer.MaxInFlight(m_admission.Slots()));
   bool is_holding = false;
   const auto is_held = [&](const PriorityId& priority) {
     const bool is_held_now = m_pacer.IsHeld(priority, now);
     is_holding = is_holding || is_held_now;
     return is_held_now;
   };
-  const std::vector<OwnedCallId> dispatched = m_admission.TakeDispatchable(now, is_held);
+  const std::vector<OwnedCallId> dispatched = m_admission.PopDispatchable(now, is_held);
   for (const OwnedCallId id : dispatched) RunCall(id, m_calls.At(id), now);
   if (is_holding && !m_pacer.IsFresh(now)) StartProbe();
 }
@@ -510,8 +510,8 @@
   if (!call.discard_answer) m_kept.Keep(call.key, std::move(call.tail), MonotonicNow());
   m_claims.End(id, ClaimEnd::kRan);
   m_crash_guard.NoteCompletedHere(call.request.digest());
-  m_pacer.NoteCompleted(PriorityId(call.request.priority()), MonotonicNow() - call.dispatched_at,
-                        call.condition);
+  m_pacer.RecordCompletion(PriorityId(call.request.priority()), MonotonicNow() - call.dispatched_at,
+                           call.condition);
   Finish(id, SlotResult::kCompleted);
 }
 
@@ -538,7 +538,7 @@
 void OwnerService::Finish(OwnedCallId id, SlotResult result) {
   const TimePoint now = MonotonicNow();
   m_calls.RemoveRun(id, now);
-  m_admission.NoteFinished(id, result, now);
+  m_admission.OnCallFinished(id, result, now);
   m_suspects.Leave(id);
   ReleaseSuspects(now);
   Dispatch(now);
@@ -546,13 +546,13 @@
 
 void OwnerService::Tick(TimePoint now) {
   const std::lock_guard lock(m_lock);
-  for (const OwnedCallId id : m_admission.TakeExpired(now)) {
+  for (const OwnedCallId id : m_admission.PopExpired(now)) {
     RefuseUnrun(id, Reason::kQueueExpired);
   }
-  for (const OwnedCallId id : m_admission.TakeHopeless(now)) {
+  for (const OwnedCallId id : m_admission.PopUnservable(now)) {
     RefuseUnrun(id, Reason::kQueueFullTime);
   }
-  if (m_pause.NoteTick(now)) {
+  if (m_pause.RecordTick(now)) {
     m_metrics.Add(Metric::kPausesSeen);
     LogEvent(LogPart::kOwner, LogLevel::kWarning, "paused");
   }
--- a/src/libs/owner/ownerservice.h
+++ b/src/libs/owner/ownerservice.h
@@ -118,7 +118,7 @@
   bool IsKeptBack(OwnedCallId id, OwnedCall& call);
   // Admits held suspects that may run now.
   void ReleaseSuspects(TimePoint now);
-  void Replay(OwnedCallId id, OwnedCall& call, const KeptRequestAnswer& answer);
+  void Replay(OwnedCallId id, OwnedCall& call, const StoredResponse& answer);
   void Dispatch(TimePoint now);
   void RunCall(OwnedCallId id, OwnedCall& call, TimePoint now);
   // `request_id_not_run`: the call has a request id, and no send of that id has run.
--- a/src/libs/policy/adaptivestrategy.cpp
+++ b/src/libs/policy/adaptivestrategy.cpp
@@ -6,40 +6,41 @@
 
 namespace {
 
-using Standing = ServerScore::Standing;
+using State = ServerScore::State;
 
 // A call that must not run twice is used as a trial only when no idempotent call came in this time.
-constexpr std::chrono::seconds kTrialPatience{2};
+constexpr std::chrono::seconds kMaxTrialWait{2};
 
 // How strictly a draw keeps to standing and slow start; each is tried when the one before found
 // nothing.
-enum class DrawMode { kRamped, kNormal, kAny };
-constexpr std::array kDrawModes{DrawMode::kRamped, DrawMode::kNormal, DrawMode::kAny};
+enum class SamplingMode { kRamped, kNormal, kAny };
+constexpr std::array kSamplingModes{SamplingMode::kRamped, SamplingMode::kNormal,
+                                    SamplingMode::kAny};
 
-struct Drawn {
+struct Sample {
   std::optional<std::size_t> index;
   Duration delay{};
 };
 
-bool IsDrawn(const RoutingPool& pool, std::size_t index, DrawMode mode, RandomSource& random,
-             TimePoint now) {
+bool IsCandidate(const RoutingPool& pool, std::size_t index, SamplingMode mode,
+                 RandomSource& random, TimePoint now) {
   if (!pool.IsOpen(index)) return false;
-  if (mode == DrawMode::kAny) return true;
+  if (mode == SamplingMode::kAny) return true;
   const ServerScore& score = pool.Score(index);
-  if (score.CurrentStanding() != Standing::kNormal) return false;
-  if (mode == DrawMode::kNormal) return true;
+  if (score.CurrentState() != State::kNormal) return false;
+  if (mode == SamplingMode::kNormal) return true;
   const double share = score.RampShare(now);
   return share >= 1.0 || random.Unit() < share;
 }
 
 // Two servers of a tier, each pair equally likely, and of them the one with the lower expected
 // delay.
-Drawn DrawFromTier(const RoutingPool& pool, std::size_t tier, DrawMode mode, RandomSource& random,
-                   TimePoint now) {
+Sample SampleTier(const RoutingPool& pool, std::size_t tier, SamplingMode mode,
+                  RandomSource& random, TimePoint now) {
   std::array<std::size_t, 2> pair{};
   std::size_t seen = 0;
   for (const std::size_t index : pool.Tier(tier)) {
-    if (!IsDrawn(pool, index, mode, random, now)) continue;
+    if (!IsCandidate(pool, index, mode, random, now)) continue;
     const std::size_t position = seen < pair.size() ? seen : random.Below(seen + 1);
     if (position < pair.size()) pair[position] = index;
     ++seen;
@@ -49,11 +50,11 @@
     return pool.Score(index).ExpectedDelay(pool.Request().priority_index, pool.TypicalServiceTime(),
                                            now);
   };
-  Drawn best{pair[0], delay_of(pair[0])};
+  Sample best{pair[0], delay_of(pair[0])};
   if (seen == 1) return best;
   const Duration other = delay_of(pair[1]);
   const bool other_wins = other < best.delay || (other == best.delay && random.Below(2) == 0);
-  return other_wins ? Drawn{pair[1], other} : best;
+  return other_wins ? Sample{pair[1], other} : best;
 }
 
 std::optional<std::size_t> FindTrial(const RoutingPool& pool, TimePoint now) {
@@ -61,8 +62,8 @@
     for (const std::size_t index : pool.Tier(tier)) {
       ServerScore& score = pool.Score(index);
       score.Refresh(now);
-      if (score.CurrentStanding() != Standing::kTrialDue || !pool.IsOpen(index)) continue;
-      if (pool.Request().idempotent || now - score.TrialDueSince() > kTrialPatience) return index;
+      if (score.CurrentState() != State::kTrialDue || !pool.IsOpen(index)) continue;
+      if (pool.Request().idempotent || now - score.TrialDueSince() > kMaxTrialWait) return index;
     }
   }
   return std::nullopt;
@@ -73,11 +74,11 @@
 std::optional<std::size_t> AdaptiveStrategy::Pick(const RoutingPool& pool, RandomSource& random,
                                                   TimePoint now) {
   if (const std::optional<std::size_t> trial = FindTrial(pool, now)) return trial;
-  for (const DrawMode mode : kDrawModes) {
-    Drawn best;
+  for (const SamplingMode mode : kSamplingModes) {
+    Sample best;
     for (std::size_t tier = 0; tier < pool.TierCount(); ++tier) {
-      const Drawn drawn = DrawFromTier(pool, tier, mode, random, now);
-      if (drawn.index && (!best.index || drawn.delay < best.delay)) best = drawn;
+      const Sample sample = SampleTier(pool, tier, mode, random, now);
+      if (sample.index && (!best.index || sample.delay < best.delay)) best = sample;
     }
     if (best.index) return best.index;
   }
--- a/src/libs/policy/admissionqueue.cpp
+++ b/src/libs/policy/admissionqueue.cpp
@@ -15,20 +15,20 @@
 constexpr Duration kUnknownServiceTime{1000};
 // Without a completion for this long, a priority's service time is doubted: if it is too long for
 // any call to be taken, none would come to correct it.
-constexpr std::chrono::milliseconds kServiceTimeAge{1000};
+constexpr std::chrono::milliseconds kServiceTimeMaxAge{1000};
 // One decrease per congestion event; the factor is that of common TCP congestion controls.
 constexpr double kDecreaseFactor = 0.7;
 
 // Keeps the expected wait finite when other priorities take everything.
-constexpr double kLeastShare = 0.01;
+constexpr double kMinShare = 0.01;
 
 // A call that has less than this part of its usual time left is not worth starting.
-constexpr double kWorthStarting = 0.7;
+constexpr double kMinStartFraction = 0.7;
 
 constexpr std::size_t kNoLane = std::numeric_limits<std::size_t>::max();
 
-Duration WorthStarting(Duration run) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(run.count()) * kWorthStarting));
+Duration MinTimeToStart(Duration run) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(run.count()) * kMinStartFraction));
 }
 
 // The room that a lane's guarantee still reserves in a cap of which the lane uses `used`.
@@ -80,11 +80,11 @@
 
 Duration AdmissionQueue::ServiceTimeOf(const Lane& lane) const {
   if (lane.service_time.count() == 0) return m_service_time;
-  const bool is_doubted = m_accrued_until - lane.completed_at > kServiceTimeAge;
-  return is_doubted ? std::min(lane.service_time, m_service_time) : lane.service_time;
+  const bool is_stale = m_accrued_until - lane.completed_at > kServiceTimeMaxAge;
+  return is_stale ? std::min(lane.service_time, m_service_time) : lane.service_time;
 }
 
-double AdmissionQueue::ShareOfLessUrgent(std::size_t lane) const {
+double AdmissionQueue::GuaranteedShareOfLessUrgent(std::size_t lane) const {
   double share = 0.0;
   for (std::size_t index = lane + 1; index < m_lanes.size(); ++index) {
     if (!m_lanes[index].queue.empty()) share += m_lanes[index].priority.guaranteed_share;
@@ -95,9 +95,9 @@
 double AdmissionQueue::ExpectedShare(std::size_t lane) const {
   // More urgent work is expected to come as it did in the last window.
   const double capacity = static_cast<double>(Limit()) * kShareWindowUs;
-  double share = 1.0 - ShareOfLessUrgent(lane);
+  double share = 1.0 - GuaranteedShareOfLessUrgent(lane);
   for (std::size_t index = 0; index < lane; ++index) share -= m_lanes[index].served / capacity;
-  return std::max({share, m_lanes[lane].priority.guaranteed_share, kLeastShare});
+  return std::max({share, m_lanes[lane].priority.guaranteed_share, kMinShare});
 }
 
 Duration AdmissionQueue::ExpectedWait(std::size_t lane) const {
@@ -109,11 +109,11 @@
   double work = own_work;  // Slot time, in microseconds.
   for (std::size_t index = 0; index < lane; ++index) {
     const Lane& ahead = m_lanes[index];
-    const bool late_goes_first = ahead.priority.group < own.priority.group;
-    const std::size_t count = ahead.queue.size() + (late_goes_first ? ahead.late.size() : 0);
+    const bool late_is_ahead = ahead.priority.group < own.priority.group;
+    const std::size_t count = ahead.queue.size() + (late_is_ahead ? ahead.late.size() : 0);
     work += static_cast<double>(count) * static_cast<double>(ServiceTimeOf(ahead).count());
   }
-  const double available = std::max(1.0 - ShareOfLessUrgent(lane), kLeastShare);
+  const double available = std::max(1.0 - GuaranteedShareOfLessUrgent(lane), kMinShare);
   const double by_order = work / (limit * available);
   const double by_share = own_work / (limit * ExpectedShare(lane));
   double wait = std::max(by_order, by_share);
@@ -141,7 +141,7 @@
 
 // Moves the calls that waited too long to be answered in time behind the others, and gives up those
 // that would be cut off while they run.
-void AdmissionQueue::MoveLate(TimePoint now) {
+void AdmissionQueue::DemoteLateCalls(TimePoint now) {
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
     Lane& lane = m_lanes[index];
     const Duration run = ServiceTimeOf(lane);
@@ -150,7 +150,7 @@
       m_queued.at(lane.queue.front().id).late = true;
       lane.late.splice(lane.late.end(), lane.queue, lane.queue.begin());
     }
-    while (!lane.late.empty() && now + WorthStarting(run) > lane.late.front().deadline) {
+    while (!lane.late.empty() && now + MinTimeToStart(run) > lane.late.front().deadline) {
       const OwnedCallId id = lane.late.front().id;
       m_expired.push_back(id);
       Remove(id);
@@ -158,7 +158,8 @@
   }
 }
 
-bool AdmissionQueue::FitsTime(const AdmissionCall& call, std::size_t lane, TimePoint now) const {
+bool AdmissionQueue::MeetsTimeLimits(const AdmissionCall& call, std::size_t lane,
+                                     TimePoint now) const {
   if (call.target != TimePoint::max()) {
     if (IsInTime(call, lane, now)) return true;
     return now + ExpectedLateWait(lane) + ServiceTimeOf(m_lanes[lane]) <= call.deadline;
@@ -231,15 +232,15 @@
   CollectExpired(now);
   Accrue(now);
   const std::size_t lane = std::min(call.priority_index, m_lanes.size() - 1);
-  const bool runs_at_once = HasFreeSlot() && m_queued.empty();
-  if (!runs_at_once) {
-    if (!FitsTime(call, lane, now)) {
+  const bool runs_immediately = HasFreeSlot() && m_queued.empty();
+  if (!runs_immediately) {
+    if (!MeetsTimeLimits(call, lane, now)) {
       admission.refusal = Reason::kQueueFullTime;
       return admission;
     }
     if (!MakeRoom(lane, call.bytes, admission)) return admission;
   }
-  Enqueue(call, lane, !runs_at_once && !IsInTime(call, lane, now));
+  Enqueue(call, lane, !runs_immediately && !IsInTime(call, lane, now));
   return admission;
 }
 
@@ -304,11 +305,11 @@
   return first_late;
 }
 
-std::vector<OwnedCallId> AdmissionQueue::TakeDispatchable(TimePoint now, const IsHeld& is_held) {
+std::vector<OwnedCallId> AdmissionQueue::PopDispatchable(TimePoint now, const IsHeld& is_held) {
   CollectExpired(now);
   Accrue(now);
-  MoveLate(now);
-  std::vector<OwnedCallId> taken;
+  DemoteLateCalls(now);
+  std::vector<OwnedCallId> dispatchable;
   while (HasFreeSlot() && !m_queued.empty()) {
     const std::size_t index = NextLane(is_held);
     if (index == kNoLane) break;
@@ -317,9 +318,9 @@
     Remove(id);
     ++m_lanes[index].running;
     m_running[id] = Running{now, index};
-    taken.push_back(id);
+    dispatchable.push_back(id);
   }
-  return taken;
+  return dispatchable;
 }
 
 void AdmissionQueue::CollectExpired(TimePoint now) {
@@ -330,44 +331,44 @@
   }
 }
 
-std::vector<OwnedCallId> AdmissionQueue::TakeExpired(TimePoint now) {
+std::vector<OwnedCallId> AdmissionQueue::PopExpired(TimePoint now) {
   CollectExpired(now);
   return std::exchange(m_expired, {});
 }
 
-double AdmissionQueue::WorkBeforeLate(std::size_t lane) const {
+double AdmissionQueue::WorkAheadOfLate(std::size_t lane) const {
   const std::size_t group = m_lanes[lane].priority.group;
   double work = 0.0;
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
     const Lane& other = m_lanes[index];
     if (other.priority.group > group) break;
-    const bool late_goes_before = other.priority.group < group || index < lane;
-    const std::size_t count = other.queue.size() + (late_goes_before ? other.late.size() : 0);
+    const bool counts_late = other.priority.group < group || index < lane;
+    const std::size_t count = other.queue.size() + (counts_late ? other.late.size() : 0);
     work += static_cast<double>(count) * static_cast<double>(ServiceTimeOf(other).count());
   }
   return work;
 }
 
-std::vector<OwnedCallId> AdmissionQueue::TakeHopeless(TimePoint now) {
-  std::vector<OwnedCallId> hopeless;
+std::vector<OwnedCallId> AdmissionQueue::PopUnservable(TimePoint now) {
+  std::vector<OwnedCallId> unservable;
   const auto limit = static_cast<double>(Limit());
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
     const Lane& lane = m_lanes[index];
     const Duration run = ServiceTimeOf(lane);
-    double work = WorkBeforeLate(index);
-    std::vector<OwnedCallId> given_up;
+    double work = WorkAheadOfLate(index);
+    std::vector<OwnedCallId> unservable_in_lane;
     for (const AdmissionCall& call : lane.late) {
       const Duration wait(static_cast<Duration::rep>(work / limit));
-      if (now + wait + WorthStarting(run) > call.deadline) {
-        given_up.push_back(call.id);
+      if (now + wait + MinTimeToStart(run) > call.deadline) {
+        unservable_in_lane.push_back(call.id);
       } else {
         work += static_cast<double>(run.count());
       }
     }
-    for (const OwnedCallId id : given_up) Remove(id);
-    hopeless.insert(hopeless.end(), given_up.begin(), given_up.end());
+    for (const OwnedCallId id : unservable_in_lane) Remove(id);
+    unservable.insert(unservable.end(), unservable_in_lane.begin(), unservable_in_lane.end());
   }
-  return hopeless;
+  return unservable;
 }
 
 bool AdmissionQueue::Cancel(OwnedCallId id) {
@@ -387,7 +388,7 @@
   }
 }
 
-void AdmissionQueue::NoteServiceTime(Lane& lane, Duration time) {
+void AdmissionQueue::UpdateServiceTime(Lane& lane, Duration time) {
   const auto smooth = [time](Duration& average) {
     average = average.count() == 0 ? time : average + (time - average) / kServiceTimeSmoothing;
   };
@@ -411,7 +412,7 @@
   }
 }
 
-void AdmissionQueue::NoteFinished(OwnedCallId id, SlotResult result, TimePoint now) {
+void AdmissionQueue::OnCallFinished(OwnedCallId id, SlotResult result, TimePoint now) {
   const auto found = m_running.find(id);
   if (found == m_running.end()) return;
   Accrue(now);
@@ -421,7 +422,7 @@
   Lane& lane = m_lanes[running.lane];
   --lane.running;
   if (result != SlotResult::kCompleted) return;
-  NoteServiceTime(lane, now - running.since);
+  UpdateServiceTime(lane, now - running.since);
   lane.completed_at = now;
 }
 
--- a/src/libs/policy/admissionqueue.h
+++ b/src/libs/policy/admissionqueue.h
@@ -68,28 +68,28 @@
   AdmissionQueue(const AdmissionLimits& limits, std::span<const Priority> priorities);
 
   // Takes a call into the queue, or returns why it is refused. A call that was taken is named by
-  // TakeDispatchable, TakeExpired or a later Admission::evicted, unless it is cancelled.
+  // PopDispatchable, PopExpired or a later Admission::evicted, unless it is cancelled.
   Admission Offer(const AdmissionCall& call, TimePoint now);
 
   // Whether the calls of a priority wait although there are free slots.
   using IsHeld = std::function<bool(const PriorityId& priority)>;
 
-  // Names the calls that are to be dispatched now; each occupies a slot until NoteFinished. Never
+  // Names the calls that are to be dispatched now; each occupies a slot until OnCallFinished. Never
   // names a call whose deadline has passed. `is_held` may be empty.
-  std::vector<OwnedCallId> TakeDispatchable(TimePoint now, const IsHeld& is_held = {});
+  std::vector<OwnedCallId> PopDispatchable(TimePoint now, const IsHeld& is_held = {});
 
   // Removes and names the queued calls whose deadline has passed.
-  std::vector<OwnedCallId> TakeExpired(TimePoint now);
+  std::vector<OwnedCallId> PopExpired(TimePoint now);
 
   // Removes and names the late calls that will not get a slot while there is time to run them, as
   // far as can be told from what is queued before them. They have not expired yet.
-  std::vector<OwnedCallId> TakeHopeless(TimePoint now);
+  std::vector<OwnedCallId> PopUnservable(TimePoint now);
 
   // Removes a queued call; false if it is not queued.
   bool Cancel(OwnedCallId id);
 
   // Frees the slot of a dispatched call.
-  void NoteFinished(OwnedCallId id, SlotResult result, TimePoint now);
+  void OnCallFinished(OwnedCallId id, SlotResult result, TimePoint now);
 
   // Replaces slots and priorities; calls in the queue stay, under the priority of the same id or,
   // if that is gone, under the least urgent one.
@@ -100,10 +100,10 @@
   std::size_t Slots() const { return m_limits.slots; }
 
   // Keeps fewer calls in flight than the slots allow, from now on.
-  void SetMostInFlight(std::size_t most) { m_most_in_flight = std::max<std::size_t>(most, 1); }
+  void SetMaxInFlight(std::size_t most) { m_max_in_flight = std::max<std::size_t>(most, 1); }
 
   // How long a call of this priority would wait for a slot.
-  Duration WaitOf(std::size_t priority_index) const {
+  Duration ExpectedWaitOfPriority(std::size_t priority_index) const {
     return ExpectedWait(std::min(priority_index, m_lanes.size() - 1));
   }
 
@@ -133,24 +133,22 @@
     std::list<AdmissionCall>::iterator position;
   };
 
-  std::size_t Limit() const {
-    return std::min(static_cast<std::size_t>(m_limit), m_most_in_flight);
-  }
+  std::size_t Limit() const { return std::min(static_cast<std::size_t>(m_limit), m_max_in_flight); }
   bool HasFreeSlot() const { return m_running.size() < Limit(); }
   std::size_t QueuedCount() const { return m_queued.size(); }
   Duration ServiceTimeOf(const Lane& lane) const;
   // The guarantees of less urgent work that waits.
-  double ShareOfLessUrgent(std::size_t lane) const;
+  double GuaranteedShareOfLessUrgent(std::size_t lane) const;
   double ExpectedShare(std::size_t lane) const;
   Duration ExpectedWait(std::size_t lane) const;
   Duration ExpectedLateWait(std::size_t lane) const;
   // The slot time of the calls that go before the late ones of a lane, in microseconds.
-  double WorkBeforeLate(std::size_t lane) const;
+  double WorkAheadOfLate(std::size_t lane) const;
   // Whether the call would be answered in time; late calls wait behind those of their group that
   // would.
   bool IsInTime(const AdmissionCall& call, std::size_t lane, TimePoint now) const;
-  void MoveLate(TimePoint now);
-  bool FitsTime(const AdmissionCall& call, std::size_t lane, TimePoint now) const;
+  void DemoteLateCalls(TimePoint now);
+  bool MeetsTimeLimits(const AdmissionCall& call, std::size_t lane, TimePoint now) const;
   Reason CheckRoom(std::size_t lane, std::size_t bytes) const;
   bool MakeRoom(std::size_t lane, std::size_t bytes, Admission& admission);
   double ProjectedSlotTime(const Lane& lane) const;
@@ -160,7 +158,7 @@
   void Remove(OwnedCallId id);
   void CollectExpired(TimePoint now);
   void Accrue(TimePoint now);
-  void NoteServiceTime(Lane& lane, Duration time);
+  void UpdateServiceTime(Lane& lane, Duration time);
   void AdaptLimit(SlotResult result, TimePoint dispatched, TimePoint now);
 
   AdmissionLimits m_limits;
@@ -173,7 +171,7 @@
   Duration m_service_time{0};
   TimePoint m_accrued_until{};
   double m_limit = 1.0;
-  std::size_t m_most_in_flight = std::numeric_limits<std::size_t>::max();
+  std::size_t m_max_in_flight = std::numeric_limits<std::size_t>::max();
   TimePoint m_last_decrease{};
 };
 
--- a/src/libs/policy/attemptverdict.cpp
+++ b/src/libs/policy/attemptverdict.cpp
@@ -2,8 +2,8 @@
 
 namespace damaskhollow {
 
-AttemptVerdict JudgeStatus(Incarnation sent_to, Incarnation answered_by, CallProgress progress,
-                           bool answer_follows) {
+AttemptVerdict EvaluateStatus(Incarnation sent_to, Incarnation answered_by, CallProgress progress,
+                              bool answer_follows) {
   if (sent_to != answered_by) return AttemptVerdict::kUnknownOwnerRestarted;
   switch (progress) {
     case CallProgress::kNeverSeen:
--- a/src/libs/policy/attemptverdict.h
+++ b/src/libs/policy/attemptverdict.h
@@ -25,8 +25,8 @@
 // The conclusion from a status result. `sent_to` is the owner's incarnation that the attempt was
 // stamped for, `answered_by` the one that answered. Only the former can prove that a call was not
 // run; a restarted owner has forgotten it.
-AttemptVerdict JudgeStatus(Incarnation sent_to, Incarnation answered_by, CallProgress progress,
-                           bool answer_follows);
+AttemptVerdict EvaluateStatus(Incarnation sent_to, Incarnation answered_by, CallProgress progress,
+                              bool answer_follows);
 
 }  // namespace damaskhollow
 
--- a/src/libs/policy/callclassifier.cpp
+++ b/src/libs/policy/callclassifier.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::optional<std::uint64_t> ParseWhole(std::string_view text) {
+std::optional<std::uint64_t> ParseUnsigned(std::string_view text) {
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
@@ -26,12 +26,14 @@
 std::string_view PathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
 const Priority* EffectivePriority(const Declaration& declaration, const Rule& rule,
-                                  std::string_view wanted) {
+                                  std::string_view requested_id) {
   const Priority* declared = declaration.FindPriority(rule.priority);
-  const Priority* asked =
-      wanted.empty() ? nullptr : declaration.FindPriority(PriorityId(std::string(wanted)));
-  const bool is_lower = asked != nullptr && declared != nullptr && asked->rank > declared->rank;
-  return is_lower ? asked : declared;
+  const Priority* requested = requested_id.empty()
+                                  ? nullptr
+                                  : declaration.FindPriority(PriorityId(std::string(requested_id)));
+  const bool is_lower =
+      requested != nullptr && declared != nullptr && requested->rank > declared->rank;
+  return is_lower ? requested : declared;
 }
 
 Classification Refuse(Reason reason) { return Classification{reason, {}}; }
@@ -39,14 +41,14 @@
 // What a call's headers say of its time left and depth; kNone or the reason why it is refused.
 Reason ReadLimits(const CallDescription& call, CallClass& call_class) {
   if (!call.deadline.empty()) {
-    const std::optional<std::uint64_t> milliseconds = ParseWhole(call.deadline);
+    const std::optional<std::uint64_t> milliseconds = ParseUnsigned(call.deadline);
     constexpr std::uint64_t kDayMs = 86400000;
     if (!milliseconds || *milliseconds == 0) return Reason::kDeadlineInvalid;
     call_class.deadline = std::min<Duration>(
         call_class.deadline, std::chrono::milliseconds(std::min(*milliseconds, kDayMs)));
   }
   if (!call.depth.empty()) {
-    const std::optional<std::uint64_t> depth = ParseWhole(call.depth);
+    const std::optional<std::uint64_t> depth = ParseUnsigned(call.depth);
     if (!depth || *depth > kMaxDepth) return Reason::kDepthExceeded;
     call_class.depth = static_cast<std::uint32_t>(*depth);
   }
--- a/src/libs/policy/crashguard.cpp
+++ b/src/libs/policy/crashguard.cpp
@@ -31,8 +31,8 @@
 
 }  // namespace
 
-std::vector<std::string> CrashGuard::NoteCrash(std::span<const std::string> digests,
-                                               TimePoint now) {
+std::vector<std::string> CrashGuard::RecordCrash(std::span<const std::string> digests,
+                                                 TimePoint now) {
   std::vector<std::string> banned;
   for (const std::string& digest : digests) {
     Entry& entry = FindOrAdd(digest, now);
@@ -42,13 +42,13 @@
   return banned;
 }
 
-std::vector<std::string> CrashGuard::NoteReportedCrash(const BackendServerId& owner,
-                                                       std::span<const std::string> digests,
-                                                       TimePoint now) {
+std::vector<std::string> CrashGuard::RecordReportedCrash(const BackendServerId& owner,
+                                                         std::span<const std::string> digests,
+                                                         TimePoint now) {
   std::vector<std::string> banned;
   for (const std::string& digest : digests) {
-    if (!TakeAllowance(owner, now)) return banned;
-    if (CompletedRecently(digest, now)) continue;
+    if (!TryConsumeAllowance(owner, now)) return banned;
+    if (HasCompletedRecently(digest, now)) continue;
     Entry& entry = FindOrAdd(digest, now);
     const auto known = std::find_if(entry.reported.begin(), entry.reported.end(),
                                     [&](const auto& report) { return report.first == owner; });
@@ -62,8 +62,8 @@
   return banned;
 }
 
-bool CrashGuard::NoteCompleted(std::string_view digest, TimePoint now) {
-  RememberCompletion(digest, now);
+bool CrashGuard::RecordCompletion(std::string_view digest, TimePoint now) {
+  CacheCompletionTime(digest, now);
   const auto found = m_entries.find(digest);
   if (found == m_entries.end()) return false;
   const bool was_suspect = IsCurrent(found->second, now);
@@ -71,10 +71,10 @@
   return was_suspect;
 }
 
-void CrashGuard::NoteReportedCompletion(const BackendServerId& owner,
-                                        std::span<const std::string> digests, TimePoint now) {
+void CrashGuard::RecordReportedCompletion(const BackendServerId& owner,
+                                          std::span<const std::string> digests, TimePoint now) {
   for (const std::string& digest : digests) {
-    if (!TakeAllowance(owner, now)) return;
+    if (!TryConsumeAllowance(owner, now)) return;
     const auto found = m_entries.find(digest);
     // A ban ends by time only, as a false report would let the request crash servers again.
     if (found == m_entries.end() || found->second.banned_until > now) continue;
@@ -128,7 +128,7 @@
   return true;
 }
 
-bool CrashGuard::TakeAllowance(const BackendServerId& owner, TimePoint now) {
+bool CrashGuard::TryConsumeAllowance(const BackendServerId& owner, TimePoint now) {
   const auto [found, is_new] = m_allowances.try_emplace(owner);
   Allowance& allowance = found->second;
   if (is_new) {
@@ -144,7 +144,7 @@
   return true;
 }
 
-void CrashGuard::RememberCompletion(std::string_view digest, TimePoint now) {
+void CrashGuard::CacheCompletionTime(std::string_view digest, TimePoint now) {
   const std::uint64_t hash = HashOf(digest);
   CompletionSet& set = m_completions[hash % kCompletionSets];
   auto slot = std::find_if(set.begin(), set.end(),
@@ -156,7 +156,7 @@
   *slot = Completion{hash, now};
 }
 
-bool CrashGuard::CompletedRecently(std::string_view digest, TimePoint now) const {
+bool CrashGuard::HasCompletedRecently(std::string_view digest, TimePoint now) const {
   const std::uint64_t hash = HashOf(digest);
   const CompletionSet& set = m_completions[hash % kCompletionSets];
   return std::any_of(set.begin(), set.end(), [&](const Completion& entry) {
--- a/src/libs/policy/crashguard.h
+++ b/src/libs/policy/crashguard.h
@@ -25,20 +25,20 @@
  public:
   // Notes a crash of this node's own backend server with these digests in flight. Returns the
   // digests that are banned because of it.
-  std::vector<std::string> NoteCrash(std::span<const std::string> digests, TimePoint now);
+  std::vector<std::string> RecordCrash(std::span<const std::string> digests, TimePoint now);
 
   // Notes that a peer reported a crash of its own server. Ignored beyond the peer's rate, and for
   // digests that completed here a short time ago. Returns the digests that are banned because of
   // it.
-  std::vector<std::string> NoteReportedCrash(const BackendServerId& owner,
-                                             std::span<const std::string> digests, TimePoint now);
+  std::vector<std::string> RecordReportedCrash(const BackendServerId& owner,
+                                               std::span<const std::string> digests, TimePoint now);
 
   // Notes that a request was answered here. Returns whether it was a suspect.
-  bool NoteCompleted(std::string_view digest, TimePoint now);
+  bool RecordCompletion(std::string_view digest, TimePoint now);
 
   // Notes that a peer reported a completion on its own server.
-  void NoteReportedCompletion(const BackendServerId& owner, std::span<const std::string> digests,
-                              TimePoint now);
+  void RecordReportedCompletion(const BackendServerId& owner, std::span<const std::string> digests,
+                                TimePoint now);
 
   // Whether the digest was in flight during a crash and has not completed since.
   bool IsSuspect(std::string_view digest, TimePoint now) const;
@@ -77,9 +77,9 @@
   Entry& FindOrAdd(const std::string& digest, TimePoint now);
   void Erase(Entries::iterator entry);
   bool BanIfDue(Entry& entry, TimePoint now) const;
-  bool TakeAllowance(const BackendServerId& owner, TimePoint now);
-  void RememberCompletion(std::string_view digest, TimePoint now);
-  bool CompletedRecently(std::string_view digest, TimePoint now) const;
+  bool TryConsumeAllowance(const BackendServerId& owner, TimePoint now);
+  void CacheCompletionTime(std::string_view digest, TimePoint now);
+  bool HasCompletedRecently(std::string_view digest, TimePoint now) const;
   static bool IsCurrent(const Entry& entry, TimePoint now);
 
   Entries m_entries;
--- a/src/libs/policy/ownerclock.cpp
+++ b/src/libs/policy/ownerclock.cpp
@@ -2,8 +2,8 @@
 
 namespace damaskhollow {
 
-bool OwnerClocks::Note(const BackendServerId& owner, Incarnation incarnation,
-                       std::uint64_t clock_us, TimePoint received) {
+bool OwnerClocks::RecordReading(const BackendServerId& owner, Incarnation incarnation,
+                                std::uint64_t clock_us, TimePoint received) {
   Reading& reading = m_readings[owner];
   const bool is_new = reading.incarnation != incarnation;
   // A late message must not move a reading of the same incarnation back.
--- a/src/libs/policy/ownerclock.h
+++ b/src/libs/policy/ownerclock.h
@@ -22,8 +22,8 @@
 class OwnerClocks {
  public:
   // Notes a reading that arrived at `received`. Returns true if the owner has a new incarnation.
-  bool Note(const BackendServerId& owner, Incarnation incarnation, std::uint64_t clock_us,
-            TimePoint received);
+  bool RecordReading(const BackendServerId& owner, Incarnation incarnation, std::uint64_t clock_us,
+                     TimePoint received);
 
   // The stamp for a call that may run for `remaining` from now; empty if the owner has not reported
   // its clock.
--- a/src/libs/policy/pausedetector.h
+++ b/src/libs/policy/pausedetector.h
@@ -14,7 +14,7 @@
 class PauseDetector {
  public:
   // Notes a tick. Returns true if the process was paused since the last one.
-  bool NoteTick(TimePoint now) {
+  bool RecordTick(TimePoint now) {
     const bool was_paused = IsOverdue(now);
     m_last_tick = now;
     return was_paused;
--- a/src/libs/policy/requesthome.cpp
+++ b/src/libs/policy/requesthome.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t kLongestToken = 64;
+constexpr std::size_t kMaxTokenLength = 64;
 // Until the year 5138; keeps sums of times far from overflow.
-constexpr std::int64_t kLatestUnixMs = 99999999999999LL;
+constexpr std::int64_t kMaxUnixMs = 99999999999999LL;
 
 bool IsTokenCharacter(char character) {
   return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z') ||
@@ -26,12 +26,12 @@
   if (separator == std::string_view::npos || separator == 0) return std::nullopt;
   const std::string_view time = request_id.substr(0, separator);
   const std::string_view token = request_id.substr(separator + 1);
-  if (token.empty() || token.size() > kLongestToken) return std::nullopt;
+  if (token.empty() || token.size() > kMaxTokenLength) return std::nullopt;
   if (!std::all_of(token.begin(), token.end(), IsTokenCharacter)) return std::nullopt;
   std::int64_t milliseconds = 0;
   const auto [end, error] = std::from_chars(time.data(), time.data() + time.size(), milliseconds);
   if (error != std::errc() || end != time.data() + time.size()) return std::nullopt;
-  if (milliseconds > kLatestUnixMs) return std::nullopt;
+  if (milliseconds > kMaxUnixMs) return std::nullopt;
   return WallTime(std::chrono::milliseconds(milliseconds));
 }
 
--- a/src/libs/policy/requestregistry.cpp
+++ b/src/libs/policy/requestregistry.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Ids are kept a little longer than they are accepted.
-constexpr std::chrono::milliseconds kKeptAge = kRequestIdAge + 2 * kClockAllowance;
+constexpr std::chrono::milliseconds kRetentionTime = kRequestIdAge + 2 * kClockAllowance;
 
 RequestDecision Refuse(Reason reason) {
   return RequestDecision{RequestDecision::Kind::kRefuse, reason, {}, nullptr};
@@ -48,8 +48,9 @@
   if (agrees && !member.agrees_since) member.agrees_since = now;
 }
 
-void RequestRegistry::NoteVersion(const BackendServerId& server, Incarnation incarnation,
-                                  std::uint64_t version, WallTime now) {
+void RequestRegistry::RecordConfigurationVersion(const BackendServerId& server,
+                                                 Incarnation incarnation, std::uint64_t version,
+                                                 WallTime now) {
   const auto found = m_members.find(server);
   if (found == m_members.end()) return;
   Member& member = found->second;
@@ -82,14 +83,14 @@
     case State::kDone:
       break;
   }
-  if (!entry.answer) return Refuse(entry.reason);
-  return RequestDecision{RequestDecision::Kind::kReplay, Reason::kNone, {}, &*entry.answer};
+  if (!entry.response) return Refuse(entry.reason);
+  return RequestDecision{RequestDecision::Kind::kReplay, Reason::kNone, {}, &*entry.response};
 }
 
-std::vector<BackendServerId> RequestRegistry::ServersToAsk(const Key& key,
-                                                           const AbsentSince& absent_since) const {
+std::vector<BackendServerId> RequestRegistry::ServersToQuery(
+    const Key& key, const AbsentSince& absent_since) const {
   const WallTime limit = key.created - kClockAllowance;
-  std::vector<BackendServerId> ask;
+  std::vector<BackendServerId> servers;
   for (const auto& [id, member] : m_members) {
     // A server that still acts on another inventory may take itself for the home, whatever its
     // place in the present order.
@@ -98,13 +99,14 @@
     if (agrees && !is_higher) continue;
     const std::optional<WallTime> absent = absent_since ? absent_since(id) : std::nullopt;
     if (absent && *absent < limit) continue;
-    ask.push_back(id);
+    servers.push_back(id);
   }
-  return ask;
+  return servers;
 }
 
-RequestDecision RequestRegistry::Arrive(std::string_view request_id, std::string_view digest,
-                                        const AbsentSince& absent_since, WallTime now) {
+RequestDecision RequestRegistry::RegisterArrival(std::string_view request_id,
+                                                 std::string_view digest,
+                                                 const AbsentSince& absent_since, WallTime now) {
   m_latest = std::max(m_latest, now);
   const std::optional<WallTime> created = CreationTime(request_id);
   if (!created) return Refuse(Reason::kRequestIdInvalid);
@@ -118,9 +120,9 @@
   SweepEntries();
   if (m_entries.size() >= m_limits.entries) return Refuse(Reason::kRegistryFull);
   RequestDecision decision;
-  decision.ask = ServersToAsk(key, absent_since);
-  decision.kind =
-      decision.ask.empty() ? RequestDecision::Kind::kAccept : RequestDecision::Kind::kAsk;
+  decision.servers_to_query = ServersToQuery(key, absent_since);
+  decision.kind = decision.servers_to_query.empty() ? RequestDecision::Kind::kAccept
+                                                    : RequestDecision::Kind::kQueryServers;
   Entry entry;
   entry.digest = digest;
   m_entries.emplace(std::move(key), std::move(entry));
@@ -133,46 +135,46 @@
   return m_entries.find(Key{*created, std::string(request_id)});
 }
 
-void RequestRegistry::NoteNotRun(std::string_view request_id) {
+void RequestRegistry::RecordNotRun(std::string_view request_id) {
   const auto found = Find(request_id);
   if (found != m_entries.end() && found->second.state == State::kRunning) m_entries.erase(found);
 }
 
-void RequestRegistry::NoteRan(std::string_view request_id, KeptRequestAnswer answer) {
+void RequestRegistry::RecordResponse(std::string_view request_id, StoredResponse response) {
   const auto found = Find(request_id);
   if (found == m_entries.end()) return;
   found->second.state = State::kDone;
   found->second.reason = Reason::kAlreadyRan;
-  KeepAnswer(found, std::move(answer));
+  StoreResponse(found, std::move(response));
 }
 
-void RequestRegistry::NoteUnknown(std::string_view request_id, Reason reason) {
+void RequestRegistry::RecordUnknownOutcome(std::string_view request_id, Reason reason) {
   const auto found = Find(request_id);
   if (found == m_entries.end()) return;
   found->second.state = State::kDone;
   found->second.reason = reason;
 }
 
-void RequestRegistry::KeepAnswer(Entries::iterator entry, KeptRequestAnswer answer) {
-  const std::size_t bytes = answer.Bytes();
-  if (bytes > m_limits.answer_bytes) return;
-  DropAnswersOver(m_limits.all_answers_bytes - bytes);
-  m_answers_bytes += bytes;
-  entry->second.answer = std::move(answer);
-  m_answer_order.push_back(entry->first);
+void RequestRegistry::StoreResponse(Entries::iterator entry, StoredResponse response) {
+  const std::size_t bytes = response.Bytes();
+  if (bytes > m_limits.response_bytes) return;
+  EvictResponsesAbove(m_limits.total_response_bytes - bytes);
+  m_response_bytes += bytes;
+  entry->second.response = std::move(response);
+  m_response_order.push_back(entry->first);
 }
 
-void RequestRegistry::DropAnswersOver(std::size_t bytes) {
-  while (m_answers_bytes > bytes) {
-    const auto oldest = m_entries.find(m_answer_order.front());
-    m_answer_order.pop_front();
+void RequestRegistry::EvictResponsesAbove(std::size_t bytes) {
+  while (m_response_bytes > bytes) {
+    const auto oldest = m_entries.find(m_response_order.front());
+    m_response_order.pop_front();
     if (oldest == m_entries.end()) continue;
-    m_answers_bytes -= oldest->second.answer->Bytes();
-    oldest->second.answer.reset();
+    m_response_bytes -= oldest->second.response->Bytes();
+    oldest->second.response.reset();
   }
 }
 
-ReleaseAnswer RequestRegistry::Release(std::string_view request_id, WallTime now) {
+ReleaseReply RequestRegistry::Release(std::string_view request_id, WallTime now) {
   m_latest = std::max(m_latest, now);
   const std::optional<WallTime> created = CreationTime(request_id);
   if (!created) return {false, Reason::kRequestIdInvalid};
@@ -193,11 +195,11 @@
 }
 
 void RequestRegistry::SweepEntries() {
-  while (!m_entries.empty() && m_entries.begin()->first.created < m_latest - kKeptAge) {
+  while (!m_entries.empty() && m_entries.begin()->first.created < m_latest - kRetentionTime) {
     const auto oldest = m_entries.begin();
-    if (oldest->second.answer) {
-      m_answers_bytes -= oldest->second.answer->Bytes();
-      std::erase(m_answer_order, oldest->first);
+    if (oldest->second.response) {
+      m_response_bytes -= oldest->second.response->Bytes();
+      std::erase(m_response_order, oldest->first);
     }
     m_entries.erase(oldest);
   }
@@ -206,7 +208,7 @@
 void RequestRegistry::Sweep(const AbsentSince& absent_since, WallTime now) {
   m_latest = std::max(m_latest, now);
   SweepEntries();
-  const WallTime horizon = m_latest - kKeptAge;
+  const WallTime horizon = m_latest - kRetentionTime;
   std::erase_if(m_members, [&](const auto& entry) {
     const auto& [id, member] = entry;
     if (member.is_present) return false;
--- a/src/libs/policy/requestregistry.h
+++ b/src/libs/policy/requestregistry.h
@@ -25,7 +25,7 @@
 constexpr std::chrono::minutes kRequestIdAge{10};
 
 // An answer as the home keeps it. The head is in a form that only the node knows.
-struct KeptRequestAnswer {
+struct StoredResponse {
   std::string head;
   std::string body;
 
@@ -35,27 +35,27 @@
 struct RegistryLimits {
   // About 250 bytes each, so 4 MB; enough for 27 requests with an id per second and home.
   std::size_t entries = 16384;
-  std::size_t answer_bytes = 8UL * 1024UL;
-  std::size_t all_answers_bytes = 1024UL * 1024UL;
+  std::size_t response_bytes = 8UL * 1024UL;
+  std::size_t total_response_bytes = 1024UL * 1024UL;
 };
 
 // What a home does with a request that carries an id.
 struct RequestDecision {
   enum class Kind {
-    kAccept,  // It may run; its end must be reported.
-    kAsk,     // It may run once all of `ask` have given the id up.
-    kRefuse,  // For `reason`.
-    kReplay,  // With `answer`, which is valid until the next call of a non-const member.
+    kAccept,        // It may run; its end must be reported.
+    kQueryServers,  // It may run once all of `ask` have given the id up.
+    kRefuse,        // For `reason`.
+    kReplay,        // With `answer`, which is valid until the next call of a non-const member.
   };
 
   Kind kind = Kind::kRefuse;
   Reason reason = Reason::kNone;
-  std::vector<BackendServerId> ask;
-  const KeptRequestAnswer* answer = nullptr;
+  std::vector<BackendServerId> servers_to_query;
+  const StoredResponse* response = nullptr;
 };
 
 // A server's answer to another home that asks it to give a request id up.
-struct ReleaseAnswer {
+struct ReleaseReply {
   bool released = false;
   Reason reason = Reason::kNone;  // Why it was not released.
 };
@@ -71,26 +71,26 @@
   void SetInventory(std::span<const BackendServerId> members, std::uint64_t version, WallTime now);
 
   // Notes which configuration version another server has in force.
-  void NoteVersion(const BackendServerId& server, Incarnation incarnation, std::uint64_t version,
-                   WallTime now);
+  void RecordConfigurationVersion(const BackendServerId& server, Incarnation incarnation,
+                                  std::uint64_t version, WallTime now);
 
-  // Decides about a request that arrives. After kAccept and kAsk the id counts as running here.
-  // `digest` is of the request: an id that comes back with another request is refused, as the
+  // Decides about a request that arrives. After kAccept and kQueryServers the id counts as running
+  // here. `digest` is of the request: an id that comes back with another request is refused, as the
   // answer to the first one is not the answer to the second.
-  RequestDecision Arrive(std::string_view request_id, std::string_view digest,
-                         const AbsentSince& absent_since, WallTime now);
+  RequestDecision RegisterArrival(std::string_view request_id, std::string_view digest,
+                                  const AbsentSince& absent_since, WallTime now);
 
   // The request was refused before it ran, so it may run here or elsewhere later.
-  void NoteNotRun(std::string_view request_id);
+  void RecordNotRun(std::string_view request_id);
 
   // The request ran; its answer is kept if it is small enough.
-  void NoteRan(std::string_view request_id, KeptRequestAnswer answer);
+  void RecordResponse(std::string_view request_id, StoredResponse response);
 
   // The request may have run and has no complete answer. Later sends get `reason`.
-  void NoteUnknown(std::string_view request_id, Reason reason);
+  void RecordUnknownOutcome(std::string_view request_id, Reason reason);
 
   // Gives an id up to another home, unless it may have run here.
-  ReleaseAnswer Release(std::string_view request_id, WallTime now);
+  ReleaseReply Release(std::string_view request_id, WallTime now);
 
   // Forgets ids that would be refused as expired, and members that no longer matter.
   void Sweep(const AbsentSince& absent_since, WallTime now);
@@ -111,7 +111,7 @@
     std::string digest;  // Empty for an id that was released before a request came.
     State state = State::kRunning;
     Reason reason = Reason::kNone;  // Of kDone without an answer.
-    std::optional<KeptRequestAnswer> answer;
+    std::optional<StoredResponse> response;
   };
 
   // A server that is in the inventory, or was while ids that still count were created.
@@ -128,10 +128,11 @@
   void UpdateAgreement(Member& member, WallTime now) const;
   Reason CheckTime(WallTime created, WallTime now) const;
   RequestDecision DecideKnown(const Entry& entry, std::string_view digest) const;
-  std::vector<BackendServerId> ServersToAsk(const Key& key, const AbsentSince& absent_since) const;
+  std::vector<BackendServerId> ServersToQuery(const Key& key,
+                                              const AbsentSince& absent_since) const;
   Entries::iterator Find(std::string_view request_id);
-  void KeepAnswer(Entries::iterator entry, KeptRequestAnswer answer);
-  void DropAnswersOver(std::size_t bytes);
+  void StoreResponse(Entries::iterator entry, StoredResponse response);
+  void EvictResponsesAbove(std::size_t bytes);
   void SweepEntries();
 
   const BackendServerId m_self;
@@ -143,9 +144,9 @@
   std::uint64_t m_version = 0;            // The version in force.
   // The latest time seen. A wall clock that is set back must not make a forgotten id young again.
   WallTime m_latest{};
-  Entries m_entries;               // By creation time, so that the oldest are first.
-  std::deque<Key> m_answer_order;  // Of kept answers, oldest first.
-  std::size_t m_answers_bytes = 0;
+  Entries m_entries;                 // By creation time, so that the oldest are first.
+  std::deque<Key> m_response_order;  // Of kept answers, oldest first.
+  std::size_t m_response_bytes = 0;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/policy/retrypolicy.h
+++ b/src/libs/policy/retrypolicy.h
@@ -24,22 +24,23 @@
 // retry takes one, and a hedge takes one that must also be within the hedges' part.
 class RetryBudget {
  public:
-  void NoteFirstAttempt(const Budgets& budgets, TimePoint now);
-  bool TakeRetry(const Budgets& budgets, TimePoint now);
-  bool TakeHedge(const Budgets& budgets, TimePoint now);
+  void RecordFirstAttempt(const Budgets& budgets, TimePoint now);
+  bool TryConsumeRetry(const Budgets& budgets, TimePoint now);
+  bool TryConsumeHedge(const Budgets& budgets, TimePoint now);
 
  private:
   void Refill(const Budgets& budgets, TimePoint now);
 
   double m_tokens = 0.0;
   double m_hedge_tokens = 0.0;
-  double m_recent = 0.0;  // First attempts, decayed over the time that tokens are saved up for.
+  double m_recent_first_attempts =
+      0.0;  // First attempts, decayed over the time that tokens are saved up for.
   TimePoint m_refilled_at{};
   bool m_is_started = false;
 };
 
 // The last answer times of one service and their 95th percentile.
-class AnswerTimes {
+class ResponseTimes {
  public:
   void Add(Duration time);
 
@@ -54,7 +55,7 @@
 
 // When a caller whose call was not run may come again. Spread out, so that the callers that are
 // refused at one moment do not return at one moment.
-std::chrono::milliseconds AdviseReturn(RandomSource& random);
+std::chrono::milliseconds RandomRetryAfter(RandomSource& random);
 
 // An attempt that ended without an answer.
 struct FailedAttempt {
@@ -63,7 +64,7 @@
   bool proved_not_run = false;
   bool idempotent = false;
   std::size_t attempts = 0;  // Sends of this call that reached or may have reached a server.
-  std::size_t most_attempts = kMaxAttempts;
+  std::size_t max_attempts = kMaxAttempts;
   bool reached_server = true;  // Whether the last one did or may have.
   std::size_t refusals = 0;    // Sends that owners refused before anything reached a server.
 };
@@ -72,10 +73,10 @@
 // those of 5xx included, never come here, so retries do not multiply along a chain of calls.
 class RetryPolicy {
  public:
-  void NoteFirstAttempt(const ServiceId& service, const Budgets& budgets, TimePoint now);
+  void RecordFirstAttempt(const ServiceId& service, const Budgets& budgets, TimePoint now);
 
   // Notes the time from sending an attempt to the head of its answer.
-  void NoteAnswerTime(const ServiceId& service, Duration time);
+  void RecordResponseTime(const ServiceId& service, Duration time);
 
   // kNone if the call may be sent again, which takes a token; otherwise the reason to answer with.
   Reason DecideRetry(const FailedAttempt& failed, const Budgets& budgets, TimePoint now);
@@ -85,12 +86,12 @@
   std::optional<Duration> HedgeDelay(const ServiceId& service) const;
 
   // Whether a hedge may be sent, which takes its tokens.
-  bool TakeHedge(const ServiceId& service, const Budgets& budgets, TimePoint now);
+  bool TryConsumeHedge(const ServiceId& service, const Budgets& budgets, TimePoint now);
 
  private:
   struct ServiceState {
     RetryBudget budget;
-    AnswerTimes answer_times;
+    ResponseTimes response_times;
   };
 
   std::unordered_map<ServiceId, ServiceState> m_services;
--- a/src/libs/policy/router.cpp
+++ b/src/libs/policy/router.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The links of a fresh ingress come up within this time; its servers are not fresh for that.
-constexpr std::chrono::seconds kFirstLinks{5};
+constexpr std::chrono::seconds kInitialConnectTime{5};
 constexpr int kTypicalSmoothing = 64;
 // Head and framing of a call beside its body.
 constexpr std::size_t kCallOverheadBytes = 512;
@@ -22,35 +22,35 @@
 
 }  // namespace
 
-Router::Router(std::string_view strategy, Place place, std::uint64_t seed)
-    : m_place(std::move(place)), m_random(seed), m_strategy(MakeRoutingStrategy(strategy)) {}
+Router::Router(std::string_view strategy, NodeLocation location, std::uint64_t seed)
+    : m_location(std::move(location)), m_random(seed), m_strategy(MakeRoutingStrategy(strategy)) {}
 
 void Router::SetDeclaration(std::shared_ptr<const Declaration> declaration, TimePoint now) {
   m_declaration = std::move(declaration);
   if (!m_started) m_started = now;
   std::unordered_map<BackendServerId, ServiceId> previous_services;
-  for (auto& [id, presence] : m_presence) {
-    previous_services[id] = std::exchange(presence.service, ServiceId());
+  for (auto& [id, state] : m_servers) {
+    previous_services[id] = std::exchange(state.service, ServiceId());
   }
   for (const BackendServer& server : m_declaration->backend_servers) {
-    Presence& presence = m_presence[server.id];
+    ServerState& state = m_servers[server.id];
     // A score belongs to one subset and keeps its tier, so a server that moved gets a new one.
     const bool moved =
-        presence.score && (m_scores[*presence.score].Tier() != TierOf(m_place, server) ||
-                           previous_services[server.id] != server.service);
-    if (moved) DropScore(presence);
-    presence.service = server.service;
+        state.score && (m_scores[*state.score].Tier() != TierOf(m_location, server) ||
+                        previous_services[server.id] != server.service);
+    if (moved) ReleaseScore(state);
+    state.service = server.service;
   }
-  for (auto& entry : m_presence) {
-    if (entry.second.service.IsEmpty()) DropScore(entry.second);
+  for (auto& entry : m_servers) {
+    if (entry.second.service.IsEmpty()) ReleaseScore(entry.second);
   }
-  std::erase_if(m_presence, [](const auto& entry) { return entry.second.service.IsEmpty(); });
+  std::erase_if(m_servers, [](const auto& entry) { return entry.second.service.IsEmpty(); });
   std::erase_if(m_subsets, [this](const auto& entry) {
     return m_declaration->FindService(entry.first) == nullptr;
   });
   for (const Service& service : m_declaration->services) RebuildSubset(service, now);
   const std::size_t nodes =
-      std::max<std::size_t>(ServersInRegion(*m_declaration, m_place.region), 1);
+      std::max<std::size_t>(ServersInRegion(*m_declaration, m_location.region), 1);
   m_paid_link.SetRate(static_cast<double>(m_declaration->budgets.paid_link_bytes_per_second) /
                           static_cast<double>(nodes),
                       now);
@@ -59,82 +59,82 @@
 void Router::RebuildSubset(const Service& service, TimePoint now) {
   std::vector<const BackendServer*> servers = m_declaration->ServersOf(service.id);
   const std::size_t size = SubsetSize(service, servers.size());
-  std::erase_if(
-      servers, [this](const BackendServer* server) { return !m_presence.at(server->id).eligible; });
-  const std::vector<const BackendServer*> chosen = SelectSubset(m_place, size, servers);
+  std::erase_if(servers,
+                [this](const BackendServer* server) { return !m_servers.at(server->id).eligible; });
+  const std::vector<const BackendServer*> chosen = SelectSubset(m_location, size, servers);
   ServiceSubset& subset = m_subsets[service.id];
   const auto previous = std::exchange(subset.tiers, {});
   for (const BackendServer* server : chosen) {
-    Presence& presence = m_presence.at(server->id);
-    const std::size_t index = presence.score ? *presence.score : AddScore(*server, presence, now);
-    subset.tiers[static_cast<std::size_t>(TierOf(m_place, *server))].push_back(index);
+    ServerState& state = m_servers.at(server->id);
+    const std::size_t index = state.score ? *state.score : AddScore(*server, state, now);
+    subset.tiers[static_cast<std::size_t>(TierOf(m_location, *server))].push_back(index);
   }
   for (const std::vector<std::size_t>& tier : previous) {
     for (const std::size_t index : tier) {
       // The place of a score that was dropped may have been taken by another server since.
-      const auto found = m_presence.find(m_scores[index].Id());
-      if (found == m_presence.end() || found->second.service != service.id) continue;
-      if (found->second.score == index && !subset.Contains(index)) DropScore(found->second);
+      const auto found = m_servers.find(m_scores[index].Id());
+      if (found == m_servers.end() || found->second.service != service.id) continue;
+      if (found->second.score == index && !subset.Contains(index)) ReleaseScore(found->second);
     }
   }
 }
 
-std::size_t Router::AddScore(const BackendServer& server, Presence& presence, TimePoint now) {
-  ServerScore score(server.id, TierOf(m_place, server), server.id == m_place.server);
-  score.SetReachable(presence.reachable, now);
+std::size_t Router::AddScore(const BackendServer& server, ServerState& state, TimePoint now) {
+  ServerScore score(server.id, TierOf(m_location, server), server.id == m_location.server);
+  score.SetReachable(state.reachable, now);
   if (m_free_scores.empty()) {
     m_scores.push_back(std::move(score));
-    presence.score = m_scores.size() - 1;
+    state.score = m_scores.size() - 1;
   } else {
-    presence.score = m_free_scores.back();
+    state.score = m_free_scores.back();
     m_free_scores.pop_back();
-    m_scores[*presence.score] = std::move(score);
+    m_scores[*state.score] = std::move(score);
   }
-  return *presence.score;
+  return *state.score;
 }
 
-void Router::DropScore(Presence& presence) {
-  if (!presence.score) return;
-  m_free_scores.push_back(*presence.score);
-  presence.score.reset();
+void Router::ReleaseScore(ServerState& state) {
+  if (!state.score) return;
+  m_free_scores.push_back(*state.score);
+  state.score.reset();
 }
 
 ServerScore* Router::FindScore(const BackendServerId& server) {
-  const auto found = m_presence.find(server);
-  if (found == m_presence.end() || !found->second.score) return nullptr;
+  const auto found = m_servers.find(server);
+  if (found == m_servers.end() || !found->second.score) return nullptr;
   return &m_scores[*found->second.score];
 }
 
 void Router::SetEligible(const BackendServerId& server, bool eligible, TimePoint now) {
-  Presence& presence = m_presence[server];
-  if (presence.eligible == eligible) return;
-  presence.eligible = eligible;
-  if (!m_declaration || presence.service.IsEmpty()) return;
-  RebuildSubset(*m_declaration->FindService(presence.service), now);
+  ServerState& state = m_servers[server];
+  if (state.eligible == eligible) return;
+  state.eligible = eligible;
+  if (!m_declaration || state.service.IsEmpty()) return;
+  RebuildSubset(*m_declaration->FindService(state.service), now);
 }
 
 void Router::SetReachable(const BackendServerId& server, bool reachable, TimePoint now) {
-  m_presence[server].reachable = reachable;
+  m_servers[server].reachable = reachable;
   if (ServerScore* score = FindScore(server)) score->SetReachable(reachable, now);
 }
 
-void Router::NoteLoad(const BackendServerId& server, const ReportedLoad& load, TimePoint now) {
+void Router::RecordLoad(const BackendServerId& server, const ReportedLoad& load, TimePoint now) {
   ServerScore* score = FindScore(server);
   if (score == nullptr) return;
-  score->NoteLoad(load, m_started && now - *m_started > kFirstLinks, now);
+  score->RecordLoad(load, m_started && now - *m_started > kInitialConnectTime, now);
 }
 
-void Router::NoteSent(const BackendServerId& server, CallId attempt, std::size_t priority_index,
-                      TimePoint now) {
-  if (ServerScore* score = FindScore(server)) score->NoteSent(attempt, priority_index, now);
+void Router::RecordSent(const BackendServerId& server, CallId attempt, std::size_t priority_index,
+                        TimePoint now) {
+  if (ServerScore* score = FindScore(server)) score->RecordSent(attempt, priority_index, now);
 }
 
-void Router::NoteEnded(const BackendServerId& server, CallId attempt, AttemptResult result,
-                       TimePoint now) {
+void Router::RecordEnded(const BackendServerId& server, CallId attempt, AttemptResult result,
+                         TimePoint now) {
   ServerScore* score = FindScore(server);
   if (score == nullptr) return;
-  ServiceSubset& subset = m_subsets.at(m_presence.at(server).service);
-  score->NoteEnded(attempt, result, MaySuspend(subset), now);
+  ServiceSubset& subset = m_subsets.at(m_servers.at(server).service);
+  score->RecordEnded(attempt, result, CanSuspend(subset), now);
   if (result != AttemptResult::kAnswered) return;
   const Duration service_time = score->Load().service_time;
   Duration& typical = subset.typical_service_time;
@@ -142,7 +142,7 @@
       typical.count() == 0 ? service_time : typical + (service_time - typical) / kTypicalSmoothing;
 }
 
-bool Router::MaySuspend(const ServiceSubset& subset) const {
+bool Router::CanSuspend(const ServiceSubset& subset) const {
   std::size_t ejected = 0;
   for (const std::vector<std::size_t>& tier : subset.tiers) {
     for (const std::size_t index : tier) ejected += m_scores[index].IsEjected() ? 1 : 0;
@@ -150,26 +150,29 @@
   return (ejected + 1) * 2 <= subset.Size();
 }
 
-void Router::NotePaidLinkBytes(std::size_t bytes, TimePoint now) { m_paid_link.Spend(bytes, now); }
+void Router::RecordPaidLinkBytes(std::size_t bytes, TimePoint now) {
+  m_paid_link.Spend(bytes, now);
+}
 
 RoutingChoice Router::Choose(const RoutingRequest& request, TimePoint now) {
-  RoutingChoice choice = Find(request, now);
-  SpendFor(request, choice, now);
+  RoutingChoice choice = SelectServer(request, now);
+  ChargePaidLink(request, choice, now);
   return choice;
 }
 
-void Router::SpendFor(const RoutingRequest& request, const RoutingChoice& choice, TimePoint now) {
+void Router::ChargePaidLink(const RoutingRequest& request, const RoutingChoice& choice,
+                            TimePoint now) {
   if (choice.crosses_regions) m_paid_link.Spend(request.bytes + kCallOverheadBytes, now);
 }
 
-RoutingChoice Router::Find(const RoutingRequest& request, TimePoint now) {
+RoutingChoice Router::SelectServer(const RoutingRequest& request, TimePoint now) {
   const auto found = m_subsets.find(request.service);
   if (found == m_subsets.end()) return RoutingChoice{Reason::kNoServer, {}, false};
   const bool has_room = request.may_cross_regions && m_paid_link.HasRoom(now);
   const RoutingPool pool(m_scores, found->second, request, has_room ? kTierCount : kNearTiers);
   const std::optional<std::size_t> picked = m_strategy->Pick(pool, m_random, now);
   if (!picked) {
-    const bool lacks_bytes = request.may_cross_regions && !has_room && HasOpenServerFarAway(pool);
+    const bool lacks_bytes = request.may_cross_regions && !has_room && HasOpenRemoteServer(pool);
     return RoutingChoice{lacks_bytes ? Reason::kPaidLinkBudget : Reason::kNoServer, {}, false};
   }
   const ServerScore& score = m_scores[*picked];
@@ -180,8 +183,8 @@
       score.ReportAge(now)};
 }
 
-std::vector<BackendServerId> Router::ServersToAsk(const RoutingRequest& request, std::size_t most,
-                                                  TimePoint now) {
+std::vector<BackendServerId> Router::ServersToQuery(const RoutingRequest& request,
+                                                    std::size_t max_servers, TimePoint now) {
   const auto found = m_subsets.find(request.service);
   if (found == m_subsets.end()) return {};
   const RoutingPool pool(m_scores, found->second, request, kNearTiers);
@@ -191,49 +194,49 @@
       ServerScore& score = pool.Score(index);
       score.Refresh(now);
       if (!pool.IsOpen(index)) continue;
-      if (score.CurrentStanding() == ServerScore::Standing::kTrialDue) return {};
-      if (score.CurrentStanding() != ServerScore::Standing::kNormal) continue;
+      if (score.CurrentState() == ServerScore::State::kTrialDue) return {};
+      if (score.CurrentState() != ServerScore::State::kNormal) continue;
       const double share = score.RampShare(now);
       if (share >= 1.0 || m_random.Unit() < share) open.push_back(index);
     }
   }
   // A random part of a large subset, so that ingresses do not all ask the same owners.
-  for (std::size_t index = 0; index < std::min(most, open.size()); ++index) {
+  for (std::size_t index = 0; index < std::min(max_servers, open.size()); ++index) {
     std::swap(open[index], open[index + m_random.Below(open.size() - index)]);
   }
-  if (open.size() > most) open.resize(most);
+  if (open.size() > max_servers) open.resize(max_servers);
   std::vector<BackendServerId> servers;
   servers.reserve(open.size());
   for (const std::size_t index : open) servers.push_back(m_scores[index].Id());
   return servers;
 }
 
-RoutingChoice Router::ChooseAmong(const RoutingRequest& request, std::span<const LoadOffer> offers,
-                                  TimePoint now) {
+RoutingChoice Router::ChooseAmong(const RoutingRequest& request,
+                                  std::span<const LoadEstimate> estimates, TimePoint now) {
   const auto found = m_subsets.find(request.service);
   std::optional<std::size_t> best;
   Duration least{};
-  for (const LoadOffer& offer : offers) {
-    const ServerScore* score = FindScore(offer.server);
+  for (const LoadEstimate& estimate : estimates) {
+    const ServerScore* score = FindScore(estimate.server);
     if (score == nullptr || !score->IsOpen()) continue;
-    const Duration expected = offer.expected + score->RoundTrip();
+    const Duration expected = estimate.expected + score->RoundTrip();
     if (best && expected >= least) continue;
-    best = *m_presence.at(offer.server).score;
+    best = *m_servers.at(estimate.server).score;
     least = expected;
   }
   if (!best || found == m_subsets.end()) return Choose(request, now);
   const bool is_late = least > request.target_left;
   if (is_late && request.may_cross_regions && m_paid_link.HasRoom(now)) {
-    RoutingChoice other = Find(request, now);
+    RoutingChoice other = SelectServer(request, now);
     if (other.crosses_regions && other.expected_delay < least) {
-      SpendFor(request, other, now);
+      ChargePaidLink(request, other, now);
       return other;
     }
   }
   return RoutingChoice{Reason::kNone, m_scores[*best].Id(), false, least, Duration(0)};
 }
 
-bool Router::HasOpenServerFarAway(const RoutingPool& pool) const {
+bool Router::HasOpenRemoteServer(const RoutingPool& pool) const {
   const std::span<const std::size_t> far =
       pool.Tier(static_cast<std::size_t>(ServerTier::kOtherRegion));
   return std::any_of(far.begin(), far.end(), [&](std::size_t index) { return pool.IsOpen(index); });
--- a/src/libs/policy/router.h
+++ b/src/libs/policy/router.h
@@ -32,7 +32,7 @@
 };
 
 // What an owner said of a call that it was asked about.
-struct LoadOffer {
+struct LoadEstimate {
   BackendServerId server;
   Duration expected{};  // Wait and run there.
 };
@@ -42,7 +42,7 @@
 class Router {
  public:
   // `strategy` is adaptive, round_robin, random or least_reported.
-  Router(std::string_view strategy, Place place, std::uint64_t seed);
+  Router(std::string_view strategy, NodeLocation location, std::uint64_t seed);
 
   void SetDeclaration(std::shared_ptr<const Declaration> declaration, TimePoint now);
 
@@ -52,26 +52,26 @@
   // Whether a message can be sent to the server's owner.
   void SetReachable(const BackendServerId& server, bool reachable, TimePoint now);
 
-  void NoteLoad(const BackendServerId& server, const ReportedLoad& load, TimePoint now);
-  void NoteSent(const BackendServerId& server, CallId attempt, std::size_t priority_index,
-                TimePoint now);
-  void NoteEnded(const BackendServerId& server, CallId attempt, AttemptResult result,
-                 TimePoint now);
+  void RecordLoad(const BackendServerId& server, const ReportedLoad& load, TimePoint now);
+  void RecordSent(const BackendServerId& server, CallId attempt, std::size_t priority_index,
+                  TimePoint now);
+  void RecordEnded(const BackendServerId& server, CallId attempt, AttemptResult result,
+                   TimePoint now);
 
   // Notes bytes of a call on the link to other regions that no choice has counted, such as those of
   // its answer.
-  void NotePaidLinkBytes(std::size_t bytes, TimePoint now);
+  void RecordPaidLinkBytes(std::size_t bytes, TimePoint now);
 
   RoutingChoice Choose(const RoutingRequest& request, TimePoint now);
 
   // The servers of the near tiers whose owners are worth asking for their load before the choice,
   // at most `most`. Empty if the choice is made without: no server is open, or one is due a trial.
-  std::vector<BackendServerId> ServersToAsk(const RoutingRequest& request, std::size_t most,
-                                            TimePoint now);
+  std::vector<BackendServerId> ServersToQuery(const RoutingRequest& request,
+                                              std::size_t max_servers, TimePoint now);
 
   // Chooses among servers whose owners have just said how long the call would take there. Leaves
   // the region only if none of them can answer within the time that the call aims at.
-  RoutingChoice ChooseAmong(const RoutingRequest& request, std::span<const LoadOffer> offers,
+  RoutingChoice ChooseAmong(const RoutingRequest& request, std::span<const LoadEstimate> estimates,
                             TimePoint now);
 
   // The servers of a service that this node uses, nearest tier first.
@@ -79,11 +79,11 @@
 
  private:
   // As Choose, without counting the bytes of a choice that crosses the paid link.
-  RoutingChoice Find(const RoutingRequest& request, TimePoint now);
-  void SpendFor(const RoutingRequest& request, const RoutingChoice& choice, TimePoint now);
+  RoutingChoice SelectServer(const RoutingRequest& request, TimePoint now);
+  void ChargePaidLink(const RoutingRequest& request, const RoutingChoice& choice, TimePoint now);
 
   // One per inventory entry, so that a server that enters a subset is known.
-  struct Presence {
+  struct ServerState {
     bool eligible = true;
     bool reachable = false;
     std::optional<std::size_t> score;  // Set while it is in a subset.
@@ -91,17 +91,17 @@
   };
 
   void RebuildSubset(const Service& service, TimePoint now);
-  std::size_t AddScore(const BackendServer& server, Presence& presence, TimePoint now);
-  void DropScore(Presence& presence);
+  std::size_t AddScore(const BackendServer& server, ServerState& state, TimePoint now);
+  void ReleaseScore(ServerState& state);
   ServerScore* FindScore(const BackendServerId& server);
-  bool MaySuspend(const ServiceSubset& subset) const;
-  bool HasOpenServerFarAway(const RoutingPool& pool) const;
+  bool CanSuspend(const ServiceSubset& subset) const;
+  bool HasOpenRemoteServer(const RoutingPool& pool) const;
 
-  Place m_place;
+  NodeLocation m_location;
   RandomSource m_random;
   std::unique_ptr<RoutingStrategy> m_strategy;
   std::shared_ptr<const Declaration> m_declaration;
-  std::unordered_map<BackendServerId, Presence> m_presence;
+  std::unordered_map<BackendServerId, ServerState> m_servers;
   std::unordered_map<ServiceId, ServiceSubset> m_subsets;
   std::vector<ServerScore> m_scores;
   std::vector<std::size_t> m_free_scores;
--- a/src/libs/policy/runestimate.h
+++ b/src/libs/policy/runestimate.h
@@ -22,10 +22,10 @@
  public:
   RunEstimate();
 
-  void NoteCompleted(const PriorityId& priority, Duration time, const ServerCondition& at_start);
+  void RecordCompletion(const PriorityId& priority, Duration time, const ServerCondition& at_start);
 
   // Zero while nothing is known.
-  Duration Expected(const PriorityId& priority, const ServerCondition& condition) const;
+  Duration ExpectedRunTime(const PriorityId& priority, const ServerCondition& condition) const;
 
   // The calls that are to run at the same time. A server that slows down when it is nearly full
   // gets more done with some of its slots left free.
@@ -37,8 +37,8 @@
  private:
   double FactorOf(const ServerCondition& condition) const;
 
-  std::unordered_map<PriorityId, double> m_usual;  // Microseconds, smoothed.
-  double m_usual_of_all = 0.0;
+  std::unordered_map<PriorityId, double> m_base_time;  // Microseconds, smoothed.
+  double m_base_time_overall = 0.0;
   double m_nearly_full_factor;
 };
 
--- a/src/libs/policy/sendguard.cpp
+++ b/src/libs/policy/sendguard.cpp
@@ -9,25 +9,26 @@
 constexpr std::size_t kMaxRefused = 16384;
 // The longest deadline that classification lets through. A peer with a faulty clock cannot have
 // tombstones kept for longer.
-constexpr std::uint64_t kLongestTombstoneUs = 86400000000ULL;
+constexpr std::uint64_t kMaxTombstoneExpiryUs = 86400000000ULL;
 
 }  // namespace
 
-SendDecision SendGuard::Arrive(const CallKey& key, Incarnation owner, std::uint64_t expires_at_us,
-                               std::uint64_t now_us) const {
+SendDecision SendGuard::CheckArrival(const CallKey& key, Incarnation owner,
+                                     std::uint64_t expires_at_us, std::uint64_t now_us) const {
   if (owner != m_self) return {Reason::kWrongIncarnation, false};
   const auto ended = m_ended.find(key);
   // An answer to a second delivery could overtake the first one's and contradict it.
-  if (ended != m_ended.end() && ended->second.state == EndedCall::kMayHaveRun) {
+  if (ended != m_ended.end() && ended->second.state == InactiveCallState::kMayHaveRun) {
     return {Reason::kNone, true};
   }
   if (ended != m_ended.end() || m_refused.contains(key)) return {Reason::kCancelled, false};
   if (expires_at_us <= now_us) return {Reason::kExpired, false};
-  if (expires_at_us > now_us + kLongestTombstoneUs) return {Reason::kDeadlineInvalid, false};
+  if (expires_at_us > now_us + kMaxTombstoneExpiryUs) return {Reason::kDeadlineInvalid, false};
   return {};
 }
 
-void SendGuard::NoteRefused(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us) {
+void SendGuard::RecordRefused(const CallKey& key, std::uint64_t expires_at_us,
+                              std::uint64_t now_us) {
   if (expires_at_us <= now_us || !m_refused.emplace(key, expires_at_us).second) return;
   m_refused_order.push_back(key);
   if (m_refused_order.size() <= kMaxRefused) return;
@@ -35,37 +36,38 @@
   m_refused_order.pop_front();
 }
 
-void SendGuard::NoteCancelled(const CallKey& key, std::uint64_t expires_at_us,
-                              std::uint64_t now_us) {
-  Add(key, expires_at_us, now_us, EndedCall::kNotRun);
+void SendGuard::RecordCancelled(const CallKey& key, std::uint64_t expires_at_us,
+                                std::uint64_t now_us) {
+  AddTombstone(key, expires_at_us, now_us, InactiveCallState::kNotRun);
 }
 
-void SendGuard::NoteEnded(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us) {
-  Add(key, expires_at_us, now_us, EndedCall::kMayHaveRun);
+void SendGuard::RecordEnded(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us) {
+  AddTombstone(key, expires_at_us, now_us, InactiveCallState::kMayHaveRun);
 }
 
-void SendGuard::Add(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us,
-                    EndedCall state) {
-  m_ended.emplace(key, Tombstone{std::min(expires_at_us, now_us + kLongestTombstoneUs), state});
+void SendGuard::AddTombstone(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us,
+                             InactiveCallState state) {
+  m_ended.emplace(key, Tombstone{std::min(expires_at_us, now_us + kMaxTombstoneExpiryUs), state});
 }
 
-EndedCall SendGuard::Settle(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us) {
+InactiveCallState SendGuard::ResolveState(const CallKey& key, std::uint64_t expires_at_us,
+                                          std::uint64_t now_us) {
   const auto ended = m_ended.find(key);
   if (ended != m_ended.end()) return ended->second.state;
-  if (m_refused.contains(key)) return EndedCall::kNotRun;
+  if (m_refused.contains(key)) return InactiveCallState::kNotRun;
   // Past this time the call's tombstone may have been swept, so its absence proves nothing.
-  if (expires_at_us + kOwnerMemoryUs <= now_us) return EndedCall::kMayHaveRun;
-  Add(key, expires_at_us, now_us, EndedCall::kNotRun);
-  return EndedCall::kNeverSeen;
+  if (expires_at_us + kTombstoneRetentionUs <= now_us) return InactiveCallState::kMayHaveRun;
+  AddTombstone(key, expires_at_us, now_us, InactiveCallState::kNotRun);
+  return InactiveCallState::kNeverSeen;
 }
 
 void SendGuard::Sweep(std::uint64_t now_us) {
   std::erase_if(m_ended, [&](const auto& entry) {
-    return entry.second.expires_at_us + kOwnerMemoryUs < now_us;
+    return entry.second.expires_at_us + kTombstoneRetentionUs < now_us;
   });
   while (!m_refused_order.empty()) {
     const auto oldest = m_refused.find(m_refused_order.front());
-    if (oldest->second + kOwnerMemoryUs >= now_us) break;
+    if (oldest->second + kTombstoneRetentionUs >= now_us) break;
     m_refused.erase(oldest);
     m_refused_order.pop_front();
   }
--- a/src/libs/policy/sendguard.h
+++ b/src/libs/policy/sendguard.h
@@ -23,10 +23,10 @@
 
 // An owner remembers a call for this long after its expiry, on its own clock, so that a question
 // asked at the deadline still gets a proof, and a second delivery is not answered as expired.
-constexpr std::uint64_t kOwnerMemoryUs = 10000000;
+constexpr std::uint64_t kTombstoneRetentionUs = 10000000;
 
 // What an owner knows of a call that it has neither queued nor running.
-enum class EndedCall {
+enum class InactiveCallState {
   kNeverSeen,  // Not run; refused if it still arrives.
   kNotRun,     // Cancelled or refused; refused if it arrives again.
   kMayHaveRun,
@@ -45,21 +45,22 @@
   explicit SendGuard(Incarnation self) : m_self(self) {}
 
   // Decides about a call that is neither queued nor running.
-  SendDecision Arrive(const CallKey& key, Incarnation owner, std::uint64_t expires_at_us,
-                      std::uint64_t now_us) const;
+  SendDecision CheckArrival(const CallKey& key, Incarnation owner, std::uint64_t expires_at_us,
+                            std::uint64_t now_us) const;
 
   // Notes a call that was refused at arrival. Only the last 16,384 of them are kept: links do not
   // duplicate messages, so this is a second line of defence, and floods refuse many calls.
-  void NoteRefused(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
+  void RecordRefused(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
 
   // Notes that a call was cancelled before it ran, and will not run.
-  void NoteCancelled(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
+  void RecordCancelled(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
 
   // Notes that a call ended after it had been dispatched.
-  void NoteEnded(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
+  void RecordEnded(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
 
   // Answers a status query or a cancel. A call that was never seen will not run after this.
-  EndedCall Settle(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
+  InactiveCallState ResolveState(const CallKey& key, std::uint64_t expires_at_us,
+                                 std::uint64_t now_us);
 
   // Forgets calls whose expiry is further back than the owner's memory.
   void Sweep(std::uint64_t now_us);
@@ -69,10 +70,11 @@
  private:
   struct Tombstone {
     std::uint64_t expires_at_us = 0;
-    EndedCall state = EndedCall::kNotRun;
+    InactiveCallState state = InactiveCallState::kNotRun;
   };
 
-  void Add(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us, EndedCall state);
+  void AddTombstone(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us,
+                    InactiveCallState state);
 
   const Incarnation m_self;
   std::map<CallKey, Tombstone> m_ended;
--- a/src/libs/policy/serverpacer.cpp
+++ b/src/libs/policy/serverpacer.cpp
@@ -7,23 +7,23 @@
 namespace {
 
 // The speed of a VM that is shared with others changes several times a second.
-constexpr std::chrono::milliseconds kFresh{25};
+constexpr std::chrono::milliseconds kSlownessMaxAge{25};
 // After so many answers the server may be filled once, so that it shows whether it slows down.
-constexpr std::uint64_t kExploreEvery = 64;
+constexpr std::uint64_t kResponsesPerExploration = 64;
 // A VM that works this much slower than usual is worth waiting for. One that has just started takes
 // about twice the usual time for some seconds, which is not.
-constexpr double kSlow = 2.5;
+constexpr double kSlownessThreshold = 2.5;
 // A neighbour's burst lasts about 300 ms in the served systems. A VM that stays slow for longer is
 // slow for another reason, which does not pass soon.
-constexpr std::chrono::milliseconds kBurst{350};
-constexpr std::chrono::milliseconds kMeanRest{150};
+constexpr std::chrono::milliseconds kMaxBurst{350};
+constexpr std::chrono::milliseconds kMeanRemainingBurst{150};
 
 }  // namespace
 
-void ServerPacer::NoteSlowness(double slowness, TimePoint now) {
+void ServerPacer::RecordSlowness(double slowness, TimePoint now) {
   m_slowness = slowness;
-  m_told = now;
-  if (slowness < kSlow) {
+  m_reported_at = now;
+  if (slowness < kSlownessThreshold) {
     m_slow_since.reset();
   } else if (!m_slow_since) {
     m_slow_since = now;
@@ -32,41 +32,44 @@
 
 void ServerPacer::Reset() {
   m_slowness = 1.0;
-  m_told.reset();
+  m_reported_at.reset();
   m_slow_since.reset();
 }
 
-bool ServerPacer::IsFresh(TimePoint now) const { return m_told && now - *m_told <= kFresh; }
+bool ServerPacer::IsFresh(TimePoint now) const {
+  return m_reported_at && now - *m_reported_at <= kSlownessMaxAge;
+}
 
-std::size_t ServerPacer::MostInFlight(std::size_t slots) {
-  if (m_answers < kExploreEvery) return m_estimate.BestInFlight(slots);
-  m_answers = 0;
+std::size_t ServerPacer::MaxInFlight(std::size_t slots) {
+  if (m_responses_since_exploration < kResponsesPerExploration)
+    return m_estimate.BestInFlight(slots);
+  m_responses_since_exploration = 0;
   return slots;
 }
 
 bool ServerPacer::IsHeld(const PriorityId& priority, TimePoint now) const {
-  if (!m_slow_since || now - *m_slow_since > kBurst) return false;
-  const Duration usual = m_estimate.Expected(priority, ServerCondition{});
+  if (!m_slow_since || now - *m_slow_since > kMaxBurst) return false;
+  const Duration usual = m_estimate.ExpectedRunTime(priority, ServerCondition{});
   const auto slow = static_cast<double>(usual.count()) * m_slowness;
-  return slow > static_cast<double>((usual + kMeanRest).count());
+  return slow > static_cast<double>((usual + kMeanRemainingBurst).count());
 }
 
-Duration ServerPacer::Expected(const PriorityId& priority, std::size_t in_flight, std::size_t slots,
-                               TimePoint now) const {
+Duration ServerPacer::ExpectedTimeToResponse(const PriorityId& priority, std::size_t in_flight,
+                                             std::size_t slots, TimePoint now) const {
   ServerCondition condition = Condition(in_flight, slots);
-  if (!IsHeld(priority, now)) return m_estimate.Expected(priority, condition);
+  if (!IsHeld(priority, now)) return m_estimate.ExpectedRunTime(priority, condition);
   condition.slowness = 1.0;
-  return m_estimate.Expected(priority, condition) + kMeanRest;
+  return m_estimate.ExpectedRunTime(priority, condition) + kMeanRemainingBurst;
 }
 
 ServerCondition ServerPacer::Condition(std::size_t in_flight, std::size_t slots) const {
   return ServerCondition{m_slowness, in_flight, std::max<std::size_t>(slots, 1)};
 }
 
-void ServerPacer::NoteCompleted(const PriorityId& priority, Duration time,
-                                const ServerCondition& at_start) {
-  ++m_answers;
-  m_estimate.NoteCompleted(priority, time, at_start);
+void ServerPacer::RecordCompletion(const PriorityId& priority, Duration time,
+                                   const ServerCondition& at_start) {
+  ++m_responses_since_exploration;
+  m_estimate.RecordCompletion(priority, time, at_start);
 }
 
 }  // namespace damaskhollow
--- a/src/libs/policy/serverpacer.h
+++ b/src/libs/policy/serverpacer.h
@@ -18,7 +18,7 @@
 class ServerPacer {
  public:
   // What the backend server says of its VM's speed, as a multiple of the usual time of work.
-  void NoteSlowness(double slowness, TimePoint now);
+  void RecordSlowness(double slowness, TimePoint now);
 
   // Forgets the speed, as another instance has taken the server's place.
   void Reset();
@@ -27,7 +27,7 @@
   bool IsFresh(TimePoint now) const;
 
   // The calls that may run at the same time; to be asked once for each round of dispatches.
-  std::size_t MostInFlight(std::size_t slots);
+  std::size_t MaxInFlight(std::size_t slots);
 
   // Whether a call of this priority is better off waiting for the VM to regain its speed than
   // starting now.
@@ -35,19 +35,19 @@
 
   // Time from being first in the queue to the answer, for a call that would be the `in_flight`th
   // to run. Zero while nothing is known.
-  Duration Expected(const PriorityId& priority, std::size_t in_flight, std::size_t slots,
-                    TimePoint now) const;
+  Duration ExpectedTimeToResponse(const PriorityId& priority, std::size_t in_flight,
+                                  std::size_t slots, TimePoint now) const;
 
   // The condition that a call starts under now, and how long a call took that started under it.
   ServerCondition Condition(std::size_t in_flight, std::size_t slots) const;
-  void NoteCompleted(const PriorityId& priority, Duration time, const ServerCondition& at_start);
+  void RecordCompletion(const PriorityId& priority, Duration time, const ServerCondition& at_start);
 
  private:
   RunEstimate m_estimate;
   double m_slowness = 1.0;
-  std::optional<TimePoint> m_told;
-  std::optional<TimePoint> m_slow_since;  // Without a break.
-  std::uint64_t m_answers = 0;            // Since the server was last filled.
+  std::optional<TimePoint> m_reported_at;
+  std::optional<TimePoint> m_slow_since;            // Without a break.
+  std::uint64_t m_responses_since_exploration = 0;  // Since the server was last filled.
 };
 
 }  // namespace damaskhollow
--- a/src/libs/policy/serverscores.cpp
+++ b/src/libs/policy/serverscores.cpp
@@ -14,18 +14,18 @@
                                                        Duration(60000)};
 
 // A reported queue is worked off or grown within about this time.
-constexpr double kQueueAgeUs = 250e3;
+constexpr double kQueueDelayDecayUs = 250e3;
 // A server that looks slow gets no calls and so no news; after a few times this it gets one again.
-constexpr double kServiceTimeAgeUs = 5e6;
+constexpr double kServiceTimeDecayUs = 5e6;
 
 constexpr double kSuccessSmoothing = 1.0 / 16.0;
-constexpr double kLowestSuccess = 0.02;
+constexpr double kMinSuccessRate = 0.02;
 
 constexpr unsigned kFailuresToSuspend = 5;
 constexpr std::chrono::seconds kFirstSuspension{1};
 // A backend server that refuses connections is often started again at once.
 constexpr std::chrono::milliseconds kNoBackendSuspension{250};
-constexpr unsigned kMostDoublings = 6;  // 64 s.
+constexpr unsigned kMaxDoublings = 6;  // 64 s.
 
 constexpr std::chrono::seconds kRampTime{10};
 constexpr double kRampFloor = 0.05;
@@ -45,18 +45,18 @@
   if (!reachable) return;
   const bool is_return = m_was_reachable;
   m_was_reachable = true;
-  if (!is_return || m_standing == Standing::kSuspended) return;
-  m_standing = Standing::kTrialDue;
-  m_standing_until = now;
+  if (!is_return || m_state == State::kSuspended) return;
+  m_state = State::kTrialDue;
+  m_state_until = now;
 }
 
-void ServerScore::NoteLoad(const ReportedLoad& load, bool ramp_first, TimePoint now) {
+void ServerScore::RecordLoad(const ReportedLoad& load, bool ramp_first, TimePoint now) {
   const bool is_first = m_load.incarnation.value == 0;
   const bool is_new = load.incarnation != m_load.incarnation;
   if (is_new && (!is_first || ramp_first)) m_ramp_from = now;
   if (is_new) {
     m_consecutive_failures = 0;
-    m_success = 1.0;
+    m_success_rate = 1.0;
   }
   // A Pong repeats the service time although no call has finished, so only a change is news.
   if (is_new || load.service_time != m_load.service_time) m_service_time_at = now;
@@ -64,61 +64,61 @@
   m_load_at = now;
 }
 
-void ServerScore::NoteSent(CallId attempt, std::size_t priority_index, TimePoint now) {
+void ServerScore::RecordSent(CallId attempt, std::size_t priority_index, TimePoint now) {
   m_outstanding.push_back(SentCall{attempt, priority_index, now});
-  if (m_standing != Standing::kTrialDue) return;
-  m_standing = Standing::kTrialRunning;
+  if (m_state != State::kTrialDue) return;
+  m_state = State::kTrialRunning;
   m_trial = attempt;
 }
 
-void ServerScore::NoteEnded(CallId attempt, AttemptResult result, bool may_suspend, TimePoint now) {
+void ServerScore::RecordEnded(CallId attempt, AttemptResult result, bool may_suspend,
+                              TimePoint now) {
   const auto found = std::find_if(m_outstanding.begin(), m_outstanding.end(),
                                   [&](const auto& entry) { return entry.attempt == attempt; });
   if (found == m_outstanding.end()) return;
   m_outstanding.erase(found);
-  const bool was_trial = m_standing == Standing::kTrialRunning && m_trial == attempt;
+  const bool was_trial = m_state == State::kTrialRunning && m_trial == attempt;
   switch (result) {
     case AttemptResult::kAnswered:
-      return NoteSuccess(was_trial, now);
+      return RecordSuccess(was_trial, now);
     case AttemptResult::kError:
     case AttemptResult::kFailed:
-      return NoteFailure(was_trial, may_suspend, now);
+      return RecordFailure(was_trial, may_suspend, now);
     case AttemptResult::kNoBackend:
-      return NoteNoBackend(now);
+      return RecordNoBackend(now);
     case AttemptResult::kRefused:
     case AttemptResult::kCancelled:
       if (was_trial) {
-        m_standing = Standing::kTrialDue;
-        m_standing_until = now;
+        m_state = State::kTrialDue;
+        m_state_until = now;
       }
       return;
   }
 }
 
-void ServerScore::NoteSuccess(bool was_trial, TimePoint now) {
-  m_last_answer = now;
+void ServerScore::RecordSuccess(bool was_trial, TimePoint now) {
+  m_last_response = now;
   m_consecutive_failures = 0;
-  m_success += (1.0 - m_success) * kSuccessSmoothing;
+  m_success_rate += (1.0 - m_success_rate) * kSuccessSmoothing;
   if (was_trial) {
-    m_standing = Standing::kNormal;
+    m_state = State::kNormal;
     m_ejected = false;
     m_ramp_from = now;
-    m_success = 1.0;
-  } else if (m_standing == Standing::kNormal && m_ramp_from && now - *m_ramp_from > kRampTime) {
+    m_success_rate = 1.0;
+  } else if (m_state == State::kNormal && m_ramp_from && now - *m_ramp_from > kRampTime) {
     m_ramp_from.reset();
     m_suspensions = 0;
   }
 }
 
-void ServerScore::NoteFailure(bool was_trial, bool may_suspend, TimePoint now) {
+void ServerScore::RecordFailure(bool was_trial, bool may_suspend, TimePoint now) {
   ++m_consecutive_failures;
-  m_success -= m_success * kSuccessSmoothing;
+  m_success_rate -= m_success_rate * kSuccessSmoothing;
   if (was_trial) {
     m_ejected = true;
     return Suspend(kFirstSuspension, now);
   }
-  const bool is_due =
-      m_standing == Standing::kNormal && m_consecutive_failures >= kFailuresToSuspend;
+  const bool is_due = m_state == State::kNormal && m_consecutive_failures >= kFailuresToSuspend;
   if (!is_due || !may_suspend) return;
   m_ejected = true;
   Suspend(kFirstSuspension, now);
@@ -126,20 +126,20 @@
 
 // One refused connection is enough, and the server does not count as ejected for its failures: it
 // cannot take calls, whatever the state of the others.
-void ServerScore::NoteNoBackend(TimePoint now) {
-  m_success -= m_success * kSuccessSmoothing;
-  if (m_standing != Standing::kSuspended) Suspend(kNoBackendSuspension, now);
+void ServerScore::RecordNoBackend(TimePoint now) {
+  m_success_rate -= m_success_rate * kSuccessSmoothing;
+  if (m_state != State::kSuspended) Suspend(kNoBackendSuspension, now);
 }
 
 void ServerScore::Suspend(Duration first, TimePoint now) {
-  m_standing = Standing::kSuspended;
-  m_standing_until = now + first * (1U << std::min(m_suspensions, kMostDoublings));
+  m_state = State::kSuspended;
+  m_state_until = now + first * (1U << std::min(m_suspensions, kMaxDoublings));
   ++m_suspensions;
 }
 
 void ServerScore::Refresh(TimePoint now) {
-  if (m_standing == Standing::kSuspended && now >= m_standing_until) {
-    m_standing = Standing::kTrialDue;
+  if (m_state == State::kSuspended && now >= m_state_until) {
+    m_state = State::kTrialDue;
   }
 }
 
@@ -153,28 +153,28 @@
   const double usual = Microseconds(typical);
   if (m_load.service_time.count() == 0) return usual;
   const double age = Microseconds(now - m_service_time_at);
-  return usual + (Microseconds(m_load.service_time) - usual) * std::exp(-age / kServiceTimeAgeUs);
+  return usual + (Microseconds(m_load.service_time) - usual) * std::exp(-age / kServiceTimeDecayUs);
 }
 
 // Time since the server last showed that it works, while it has calls of this ingress. A long call
 // beside short ones that are answered is no stall.
 double ServerScore::StalledTime(TimePoint now) const {
   if (m_outstanding.empty()) return 0.0;
-  const TimePoint since = std::max(m_outstanding.front().sent + m_round_trip, m_last_answer);
+  const TimePoint since = std::max(m_outstanding.front().sent + m_round_trip, m_last_response);
   return now <= since ? 0.0 : Microseconds(now - since);
 }
 
 Duration ServerScore::ExpectedDelay(std::size_t priority_index, Duration typical,
                                     TimePoint now) const {
   const double age = Microseconds(now - m_load_at);
-  const double queue = Microseconds(m_load.queue_delay) * std::exp(-age / kQueueAgeUs);
+  const double queue = Microseconds(m_load.queue_delay) * std::exp(-age / kQueueDelayDecayUs);
   const double service = std::max(ServiceTime(typical, now), StalledTime(now));
   const double limit = static_cast<double>(std::max<std::size_t>(m_load.limit, 1));
   const auto ahead =
       std::count_if(m_outstanding.begin(), m_outstanding.end(),
                     [&](const SentCall& call) { return call.priority_index <= priority_index; });
   const double own = static_cast<double>(ahead) * service / limit;
-  const double run = (queue + own + service) / std::max(m_success, kLowestSuccess);
+  const double run = (queue + own + service) / std::max(m_success_rate, kMinSuccessRate);
   return Duration(static_cast<Duration::rep>(run)) + m_round_trip;
 }
 
--- a/src/libs/policy/serverscores.h
+++ b/src/libs/policy/serverscores.h
@@ -38,7 +38,7 @@
  public:
   // Whether a server takes calls. A suspended server comes back by a trial: one call that it must
   // answer.
-  enum class Standing { kNormal, kSuspended, kTrialDue, kTrialRunning };
+  enum class State { kNormal, kSuspended, kTrialDue, kTrialRunning };
 
   ServerScore(BackendServerId id, ServerTier tier, bool is_self);
 
@@ -46,11 +46,11 @@
 
   // A server whose incarnation is new gets slow start. `ramp_first` says whether that holds for the
   // first incarnation seen as well.
-  void NoteLoad(const ReportedLoad& load, bool ramp_first, TimePoint now);
-  void NoteSent(CallId attempt, std::size_t priority_index, TimePoint now);
+  void RecordLoad(const ReportedLoad& load, bool ramp_first, TimePoint now);
+  void RecordSent(CallId attempt, std::size_t priority_index, TimePoint now);
 
   // `may_suspend` is false when too many servers of the service are suspended already.
-  void NoteEnded(CallId attempt, AttemptResult result, bool may_suspend, TimePoint now);
+  void RecordEnded(CallId attempt, AttemptResult result, bool may_suspend, TimePoint now);
 
   // Ends a suspension whose time is over.
   void Refresh(TimePoint now);
@@ -65,13 +65,13 @@
 
   const BackendServerId& Id() const { return m_id; }
   ServerTier Tier() const { return m_tier; }
-  Standing CurrentStanding() const { return m_standing; }
+  State CurrentState() const { return m_state; }
   // Whether the server counts as ejected for its failures.
   bool IsEjected() const { return m_ejected; }
   // Whether a message can be sent to it and it does not drain.
   bool IsOpen() const { return m_reachable && !m_load.draining; }
   // Since when a trial is due.
-  TimePoint TrialDueSince() const { return m_standing_until; }
+  TimePoint TrialDueSince() const { return m_state_until; }
   const ReportedLoad& Load() const { return m_load; }
   Duration RoundTrip() const { return m_round_trip; }
   Duration ReportAge(TimePoint now) const { return now - m_load_at; }
@@ -83,9 +83,9 @@
     TimePoint sent{};
   };
 
-  void NoteSuccess(bool was_trial, TimePoint now);
-  void NoteFailure(bool was_trial, bool may_suspend, TimePoint now);
-  void NoteNoBackend(TimePoint now);
+  void RecordSuccess(bool was_trial, TimePoint now);
+  void RecordFailure(bool was_trial, bool may_suspend, TimePoint now);
+  void RecordNoBackend(TimePoint now);
   void Suspend(Duration first, TimePoint now);
   double ServiceTime(Duration typical, TimePoint now) const;
   double StalledTime(TimePoint now) const;
@@ -99,12 +99,12 @@
   TimePoint m_load_at{};
   TimePoint m_service_time_at{};        // When the reported service time last changed.
   std::vector<SentCall> m_outstanding;  // Oldest first.
-  TimePoint m_last_answer{};
-  double m_success = 1.0;  // Smoothed part of calls that did not fail.
+  TimePoint m_last_response{};
+  double m_success_rate = 1.0;  // Smoothed part of calls that did not fail.
   unsigned m_consecutive_failures = 0;
   unsigned m_suspensions = 0;  // Without a full slow start in between.
-  Standing m_standing = Standing::kNormal;
-  TimePoint m_standing_until{};  // End of the suspension; later, since when a trial is due.
+  State m_state = State::kNormal;
+  TimePoint m_state_until{};  // End of the suspension; later, since when a trial is due.
   CallId m_trial;
   bool m_ejected = false;
   std::optional<TimePoint> m_ramp_from;
--- a/src/libs/policy/serversubset.cpp
+++ b/src/libs/policy/serversubset.cpp
@@ -22,13 +22,13 @@
 using Ranked = std::pair<std::uint64_t, const BackendServer*>;
 using Tiers = std::array<std::vector<Ranked>, kTierCount>;
 
-Tiers RankByTier(const Place& place, std::span<const BackendServer* const> servers) {
+Tiers RankByTier(const NodeLocation& location, std::span<const BackendServer* const> servers) {
   Tiers tiers;
   for (const BackendServer* server : servers) {
-    const std::uint64_t rank = server->id == place.server
+    const std::uint64_t rank = server->id == location.server
                                    ? std::numeric_limits<std::uint64_t>::max()
-                                   : StableHash(place.server.Value(), server->id.Value());
-    tiers[static_cast<std::size_t>(TierOf(place, *server))].emplace_back(rank, server);
+                                   : StableHash(location.server.Value(), server->id.Value());
+    tiers[static_cast<std::size_t>(TierOf(location, *server))].emplace_back(rank, server);
   }
   for (std::vector<Ranked>& tier : tiers) {
     std::sort(tier.begin(), tier.end(), [](const Ranked& left, const Ranked& right) {
@@ -39,31 +39,31 @@
   return tiers;
 }
 
-std::array<std::size_t, kTierCount> SharePlaces(const Tiers& tiers, std::size_t size) {
+std::array<std::size_t, kTierCount> DistributeSlots(const Tiers& tiers, std::size_t size) {
   const std::size_t other_region = size / kOtherRegionDivisor;
   const std::size_t own_data_centre = (size - other_region) / kOwnDataCentreDivisor;
-  std::array<std::size_t, kTierCount> places{own_data_centre, size - other_region - own_data_centre,
-                                             other_region};
+  std::array<std::size_t, kTierCount> slots{own_data_centre, size - other_region - own_data_centre,
+                                            other_region};
   std::size_t left = 0;
   for (std::size_t tier = 0; tier < kTierCount; ++tier) {
-    const std::size_t usable = std::min(places[tier], tiers[tier].size());
-    left += places[tier] - usable;
-    places[tier] = usable;
+    const std::size_t usable = std::min(slots[tier], tiers[tier].size());
+    left += slots[tier] - usable;
+    slots[tier] = usable;
   }
   for (std::size_t tier = 0; tier < kTierCount; ++tier) {
-    const std::size_t more = std::min(left, tiers[tier].size() - places[tier]);
-    places[tier] += more;
+    const std::size_t more = std::min(left, tiers[tier].size() - slots[tier]);
+    slots[tier] += more;
     left -= more;
   }
-  return places;
+  return slots;
 }
 
 }  // namespace
 
-ServerTier TierOf(const Place& place, const BackendServer& server) {
-  if (server.region != place.region) return ServerTier::kOtherRegion;
-  return server.data_centre == place.data_centre ? ServerTier::kOwnDataCentre
-                                                 : ServerTier::kOwnRegion;
+ServerTier TierOf(const NodeLocation& location, const BackendServer& server) {
+  if (server.region != location.region) return ServerTier::kOtherRegion;
+  return server.data_centre == location.data_centre ? ServerTier::kOwnDataCentre
+                                                    : ServerTier::kOwnRegion;
 }
 
 std::size_t SubsetSize(const Service& service, std::size_t fleet) {
@@ -74,14 +74,14 @@
       fleet, kFullSubset + static_cast<std::size_t>(std::ceil(kServersPerDoubling * doublings)));
 }
 
-std::vector<const BackendServer*> SelectSubset(const Place& place, std::size_t size,
+std::vector<const BackendServer*> SelectSubset(const NodeLocation& location, std::size_t size,
                                                std::span<const BackendServer* const> servers) {
-  const Tiers tiers = RankByTier(place, servers);
-  const std::array<std::size_t, kTierCount> places = SharePlaces(tiers, size);
+  const Tiers tiers = RankByTier(location, servers);
+  const std::array<std::size_t, kTierCount> slots = DistributeSlots(tiers, size);
   std::vector<const BackendServer*> subset;
   subset.reserve(size);
   for (std::size_t tier = 0; tier < kTierCount; ++tier) {
-    for (std::size_t index = 0; index < places[tier]; ++index) {
+    for (std::size_t index = 0; index < slots[tier]; ++index) {
       subset.push_back(tiers[tier][index].second);
     }
   }
--- a/src/libs/policy/serversubset.h
+++ b/src/libs/policy/serversubset.h
@@ -11,7 +11,7 @@
 namespace damaskhollow {
 
 // Where this node stands.
-struct Place {
+struct NodeLocation {
   BackendServerId server;
   RegionId region;
   DataCentreId data_centre;
@@ -22,7 +22,7 @@
 
 constexpr std::size_t kTierCount = 3;
 
-ServerTier TierOf(const Place& place, const BackendServer& server);
+ServerTier TierOf(const NodeLocation& location, const BackendServer& server);
 
 // How many servers of a service one ingress uses, of `fleet` that the service has.
 std::size_t SubsetSize(const Service& service, std::size_t fleet);
@@ -31,7 +31,7 @@
 // server that joins or leaves changes the subset by about one server. The node's own server is
 // always in it. Some places are kept for each tier, so that calls can spill over; places that a
 // tier cannot fill go to the nearest tier that can.
-std::vector<const BackendServer*> SelectSubset(const Place& place, std::size_t size,
+std::vector<const BackendServer*> SelectSubset(const NodeLocation& location, std::size_t size,
                                                std::span<const BackendServer* const> servers);
 
 }  // namespace damaskhollow
--- a/src/libs/policy/splitpicker.cpp
+++ b/src/libs/policy/splitpicker.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMostRoutes = 4096;
+constexpr std::size_t kMaxRoutes = 4096;
 
 bool IsSame(const RoutePart& left, const RoutePart& right) {
   return left.service == right.service && left.weight == right.weight;
@@ -17,7 +17,7 @@
 const ServiceId& SplitPicker::Pick(const RouteId& route, std::span<const RoutePart> parts) {
   if (parts.size() == 1) return parts.front().service;
   // Routes come and go with configurations; losing their credits costs one call of evenness each.
-  if (m_credits.size() >= kMostRoutes && !m_credits.contains(route)) m_credits.clear();
+  if (m_credits.size() >= kMaxRoutes && !m_credits.contains(route)) m_credits.clear();
   Credits& state = m_credits[route];
   if (!std::equal(parts.begin(), parts.end(), state.parts.begin(), state.parts.end(), IsSame)) {
     state.parts.assign(parts.begin(), parts.end());
--- a/src/libs/policy/suspectgate.cpp
+++ b/src/libs/policy/suspectgate.cpp
@@ -21,8 +21,8 @@
 }
 
 void SuspectGate::Leave(OwnedCallId call) {
-  if (m_inside == call) {
-    m_inside.reset();
+  if (m_admitted == call) {
+    m_admitted.reset();
     return;
   }
   const auto found = std::find_if(m_waiting.begin(), m_waiting.end(),
--- a/src/libs/policy/suspectgate.h
+++ b/src/libs/policy/suspectgate.h
@@ -17,10 +17,10 @@
 class SuspectGate {
  public:
   // Whether a suspect must wait.
-  bool IsOccupied() const { return m_inside.has_value(); }
+  bool IsOccupied() const { return m_admitted.has_value(); }
 
   // Notes that the call has passed as the one suspect.
-  void Enter(OwnedCallId call) { m_inside = call; }
+  void Enter(OwnedCallId call) { m_admitted = call; }
 
   // Takes a call that must wait, or returns why there is no place for it.
   Reason Wait(OwnedCallId call, std::size_t bytes);
@@ -32,7 +32,7 @@
   std::vector<OwnedCallId> Waiting() const;
 
  private:
-  std::optional<OwnedCallId> m_inside;
+  std::optional<OwnedCallId> m_admitted;
   std::deque<std::pair<OwnedCallId, std::size_t>> m_waiting;  // With their bytes.
   std::size_t m_bytes = 0;
 };
--- a/tests/auto/policy/admissionsimulation.cpp
+++ b/tests/auto/policy/admissionsimulation.cpp
@@ -43,8 +43,8 @@
       } else {
         Complete(OwnedCallId{value});
       }
-      for (const OwnedCallId id : m_queue.TakeExpired(m_now)) Drop(id, &Served::expired);
-      for (const OwnedCallId id : m_queue.TakeDispatchable(m_now)) Dispatch(id);
+      for (const OwnedCallId id : m_queue.PopExpired(m_now)) Drop(id, &Served::expired);
+      for (const OwnedCallId id : m_queue.PopDispatchable(m_now)) Dispatch(id);
     }
     const double slot_time =
         static_cast<double>(m_options.measured.count()) * static_cast<double>(m_options.slots);
@@ -111,7 +111,7 @@
   void Complete(OwnedCallId id) {
     const SimulatedCall call = m_calls.at(id);
     m_calls.erase(id);
-    m_queue.NoteFinished(id, SlotResult::kCompleted, m_now);
+    m_queue.OnCallFinished(id, SlotResult::kCompleted, m_now);
     if (!IsMeasured(call.dispatched)) return;
     Served& served = m_result.priorities[call.priority];
     const auto slot_time = static_cast<double>(call.service_time.count());
--- a/tests/auto/policy/atmostonceworld.cpp
+++ b/tests/auto/policy/atmostonceworld.cpp
@@ -194,8 +194,8 @@
   if (message.only_for.value != 0 && message.only_for != node.incarnation) return;
   if (message.owner.value != 0) {
     const BackendServerId& owner = m_nodes[message.from].id;
-    node.clocks.Note(owner, message.owner, message.clock_us, ClockOf(node));
-    node.registry->NoteVersion(owner, message.owner, message.version, WallOf(node));
+    node.clocks.RecordReading(owner, message.owner, message.clock_us, ClockOf(node));
+    node.registry->RecordConfigurationVersion(owner, message.owner, message.version, WallOf(node));
   }
   switch (message.kind) {
     case Kind::kHello:
@@ -212,7 +212,7 @@
       if (message.key.incarnation == node.incarnation) node.attempts.erase(message.key.call);
       return;
     case Kind::kClaim: {
-      const ReleaseAnswer release =
+      const ReleaseReply release =
           node.registry->Release(m_requests[message.request].id, WallOf(node));
       Message answer = AnswerTo(index, message, Kind::kClaimAnswer);
       answer.released = release.released;
@@ -234,7 +234,7 @@
   const SendGuard forgetful(no_restart_check ? Incarnation{} : node.incarnation);
   const SendGuard& guard = m_sabotage == Sabotage::kNoTombstoneCheck ? forgetful : *node.guard;
   const SendDecision decision =
-      guard.Arrive(message.key, owner, message.stamp.expires_at_us, now_us);
+      guard.CheckArrival(message.key, owner, message.stamp.expires_at_us, now_us);
   if (decision.ignore) return;
   if (decision.refusal != Reason::kNone) {
     return Refuse(index, message.from, message.key, message.stamp.expires_at_us, decision.refusal);
@@ -249,7 +249,7 @@
 void AtMostOnceWorld::Claim(std::size_t index, const Message& message, OwnedEntry& entry) {
   Node& node = m_nodes[index];
   const RequestDecision decision =
-      node.registry->Arrive(m_requests[message.request].id, "digest", {}, WallOf(node));
+      node.registry->RegisterArrival(m_requests[message.request].id, "digest", {}, WallOf(node));
   switch (decision.kind) {
     case RequestDecision::Kind::kAccept:
       return;
@@ -259,17 +259,17 @@
       return Refuse(index, message.from, message.key, message.stamp.expires_at_us, decision.reason);
     case RequestDecision::Kind::kReplay:
       ++m_violations.duplicate_ids_stopped;
-      node.guard->NoteEnded(message.key, entry.stamp.expires_at_us,
-                            ToClockMicroseconds(ClockOf(node)));
+      node.guard->RecordEnded(message.key, entry.stamp.expires_at_us,
+                              ToClockMicroseconds(ClockOf(node)));
       node.owned.erase(message.key);
       return Post(AnswerTo(index, message, Kind::kAnswered));
-    case RequestDecision::Kind::kAsk:
+    case RequestDecision::Kind::kQueryServers:
       break;
   }
   if (m_sabotage == Sabotage::kNoInventoryCheck) return;
-  entry.awaited = {decision.ask.begin(), decision.ask.end()};
+  entry.awaited = {decision.servers_to_query.begin(), decision.servers_to_query.end()};
   entry.query = m_next_query++;
-  for (const BackendServerId& server : decision.ask) {
+  for (const BackendServerId& server : decision.servers_to_query) {
     Message claim;
     claim.kind = Kind::kClaim;
     claim.from = index;
@@ -297,15 +297,15 @@
   if (found != node.owned.end()) {
     answer.progress = found->second.running ? CallProgress::kRunning : CallProgress::kQueued;
   } else {
-    switch (node.guard->Settle(message.key, message.stamp.expires_at_us,
-                               ToClockMicroseconds(ClockOf(node)))) {
-      case EndedCall::kNeverSeen:
+    switch (node.guard->ResolveState(message.key, message.stamp.expires_at_us,
+                                     ToClockMicroseconds(ClockOf(node)))) {
+      case InactiveCallState::kNeverSeen:
         answer.progress = CallProgress::kNeverSeen;
         break;
-      case EndedCall::kNotRun:
+      case InactiveCallState::kNotRun:
         answer.progress = CallProgress::kCancelled;
         break;
-      case EndedCall::kMayHaveRun:
+      case InactiveCallState::kMayHaveRun:
         answer.progress = CallProgress::kDone;
         break;
     }
@@ -318,7 +318,7 @@
   const auto found = node.attempts.find(message.key.call);
   if (message.key.incarnation != node.incarnation || found == node.attempts.end()) return;
   const std::size_t request = found->second.request;
-  switch (JudgeStatus(found->second.stamp.incarnation, message.owner, message.progress, false)) {
+  switch (EvaluateStatus(found->second.stamp.incarnation, message.owner, message.progress, false)) {
     case AttemptVerdict::kWait:
       return;
     case AttemptVerdict::kNotRun:
@@ -345,7 +345,7 @@
 void AtMostOnceWorld::Refuse(std::size_t index, std::size_t ingress, const CallKey& key,
                              std::uint64_t expires_at_us, Reason reason) {
   Node& node = m_nodes[index];
-  node.guard->NoteRefused(key, expires_at_us, ToClockMicroseconds(ClockOf(node)));
+  node.guard->RecordRefused(key, expires_at_us, ToClockMicroseconds(ClockOf(node)));
   Message question;
   question.from = ingress;
   question.key = key;
@@ -360,7 +360,7 @@
   const auto refused = node.owned.extract(key);
   const OwnedEntry& entry = refused.mapped();
   const std::string& id = m_requests[entry.request].id;
-  if (!id.empty()) node.registry->NoteNotRun(id);
+  if (!id.empty()) node.registry->RecordNotRun(id);
   Refuse(index, entry.ingress, refused.key(), entry.stamp.expires_at_us, reason);
 }
 
@@ -396,9 +396,9 @@
   if (entry.done_at > m_now) return;
   const std::string& id = m_requests[entry.request].id;
   const bool failed = OneIn(5);
-  if (!id.empty() && failed) node.registry->NoteUnknown(id, Reason::kBackendClosed);
-  if (!id.empty() && !failed) node.registry->NoteRan(id, {});
-  node.guard->NoteEnded(key, entry.stamp.expires_at_us, now_us);
+  if (!id.empty() && failed) node.registry->RecordUnknownOutcome(id, Reason::kBackendClosed);
+  if (!id.empty() && !failed) node.registry->RecordResponse(id, {});
+  node.guard->RecordEnded(key, entry.stamp.expires_at_us, now_us);
   Message question;
   question.from = entry.ingress;
   question.key = key;
--- a/tests/auto/policy/ownersimulation.cpp
+++ b/tests/auto/policy/ownersimulation.cpp
@@ -55,13 +55,13 @@
       m_slowness = m_random.Unit() < m_server.burst_part ? m_server.burst_factor : 1.0;
     }
     if ((m_now.time_since_epoch() % milliseconds(20)).count() == 0) {
-      m_pacer.NoteSlowness(m_slowness, m_now);
+      m_pacer.RecordSlowness(m_slowness, m_now);
     }
     FinishCalls();
     for (std::size_t index = 0; index < m_loads.size(); ++index) {
       if (m_random.Unit() < m_loads[index].per_second / 1000.0) Arrive(index);
     }
-    m_queue.TakeExpired(m_now);
+    m_queue.PopExpired(m_now);
     Dispatch();
   }
 
@@ -72,8 +72,8 @@
         ++entry;
         continue;
       }
-      m_queue.NoteFinished(entry->first, SlotResult::kCompleted, m_now);
-      m_pacer.NoteCompleted(m_priorities[call.load].id, m_now - call.started, call.condition);
+      m_queue.OnCallFinished(entry->first, SlotResult::kCompleted, m_now);
+      m_pacer.RecordCompletion(m_priorities[call.load].id, m_now - call.started, call.condition);
       const bool in_time = m_now - call.arrived <= m_loads[call.load].target;
       ++(in_time ? m_results[call.load].in_time : m_results[call.load].late);
       entry = m_running.erase(entry);
@@ -92,12 +92,12 @@
   }
 
   void Dispatch() {
-    const std::size_t most = m_pacer.MostInFlight(m_server.slots);
-    m_queue.SetMostInFlight(m_policy.leaves_slots_free ? most : m_server.slots);
+    const std::size_t most = m_pacer.MaxInFlight(m_server.slots);
+    m_queue.SetMaxInFlight(m_policy.leaves_slots_free ? most : m_server.slots);
     const auto is_held = [&](const PriorityId& priority) {
       return m_policy.holds_for_speed && m_pacer.IsHeld(priority, m_now);
     };
-    for (const OwnedCallId id : m_queue.TakeDispatchable(m_now, is_held)) {
+    for (const OwnedCallId id : m_queue.PopDispatchable(m_now, is_held)) {
       Call call = m_calls.at(id);
       call.started = m_now;
       call.condition = m_pacer.Condition(m_running.size() + 1, m_server.slots);
--- a/tests/auto/policy/queueingsimulation.cpp
+++ b/tests/auto/policy/queueingsimulation.cpp
@@ -55,12 +55,12 @@
     m_servers.push_back(std::move(server));
   }
   for (std::size_t index = 0; index < ingresses; ++index) {
-    const Place place{BackendServerId("ingress" + std::to_string(index)), RegionId("west"),
-                      DataCentreId("west-1")};
+    const NodeLocation place{BackendServerId("ingress" + std::to_string(index)), RegionId("west"),
+                             DataCentreId("west-1")};
     Router& router = m_ingresses.emplace_back(strategy, place, m_random.Next());
     router.SetDeclaration(declaration, m_now);
     for (const Server& server : m_servers) {
-      router.NoteLoad(server.id, LoadOf(server), m_now);
+      router.RecordLoad(server.id, LoadOf(server), m_now);
       router.SetReachable(server.id, true, m_now);
     }
   }
@@ -77,14 +77,14 @@
   server.queue.clear();
   for (Router& router : m_ingresses) {
     router.SetReachable(server.id, false, m_now);
-    router.NoteLoad(server.id, LoadOf(server), m_now);
+    router.RecordLoad(server.id, LoadOf(server), m_now);
     router.SetReachable(server.id, true, m_now);
   }
 }
 
 void QueueingSimulation::SetReachable(std::size_t index, bool reachable) {
   for (Router& router : m_ingresses) {
-    if (reachable) router.NoteLoad(m_servers[index].id, LoadOf(m_servers[index]), m_now);
+    if (reachable) router.RecordLoad(m_servers[index].id, LoadOf(m_servers[index]), m_now);
     router.SetReachable(m_servers[index].id, reachable, m_now);
   }
 }
@@ -146,7 +146,7 @@
   Server& server = m_servers[call.server];
   call.generation = server.generation;
   ++server.sent;
-  router.NoteSent(choice.server, call.id, 0, m_now);
+  router.RecordSent(choice.server, call.id, 0, m_now);
   At(m_now + server.one_way, [this, call] { Arrive(call); });
 }
 
@@ -188,8 +188,8 @@
 void QueueingSimulation::Answer(const Call& call, const ReportedLoad& load, AttemptResult result) {
   At(m_now + m_servers[call.server].one_way, [this, call, load, result] {
     Router& router = m_ingresses[call.ingress];
-    router.NoteLoad(m_servers[call.server].id, load, m_now);
-    router.NoteEnded(m_servers[call.server].id, call.id, result, m_now);
+    router.RecordLoad(m_servers[call.server].id, load, m_now);
+    router.RecordEnded(m_servers[call.server].id, call.id, result, m_now);
     if (result == AttemptResult::kAnswered) m_latencies.push_back(m_now - call.sent);
   });
 }
--- a/tests/auto/policy/tst_admissionqueue.cpp
+++ b/tests/auto/policy/tst_admissionqueue.cpp
@@ -72,8 +72,8 @@
 void Teach(AdmissionQueue& queue, std::size_t priority) {
   const OwnedCallId id{1000000 + priority};
   queue.Offer({id, priority, kStart + seconds(5), 1}, kStart - milliseconds(20));
-  queue.TakeDispatchable(kStart - milliseconds(20));
-  queue.NoteFinished(id, SlotResult::kCompleted, kStart);
+  queue.PopDispatchable(kStart - milliseconds(20));
+  queue.OnCallFinished(id, SlotResult::kCompleted, kStart);
 }
 
 }  // namespace
@@ -193,8 +193,8 @@
   void NeverExceedsSlots() {
     AdmissionQueue queue({.slots = 9}, Priorities());
     for (std::uint64_t id = 1; id <= 30; ++id) queue.Offer(CallOf(id, id % 3), kStart);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{9}, queue.TakeDispatchable(kStart).size());
-    CPPUNIT_ASSERT(queue.TakeDispatchable(kStart).empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{9}, queue.PopDispatchable(kStart).size());
+    CPPUNIT_ASSERT(queue.PopDispatchable(kStart).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, queue.Load().in_flight);
     CPPUNIT_ASSERT_EQUAL(std::size_t{21}, queue.Load().queued);
   }
@@ -217,7 +217,7 @@
       Teach(queue, 0);
       for (std::uint64_t id = 1; id <= row.ahead; ++id) {
         queue.Offer(CallOf(id, 0), kStart);
-        queue.TakeDispatchable(kStart);
+        queue.PopDispatchable(kStart);
       }
       const Admission admission = queue.Offer(CallOf(100, 0, row.deadline), kStart);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), static_cast<int>(row.reason),
@@ -244,7 +244,7 @@
       for (Priority& priority : priorities) priority.guaranteed_share = 0.0;
       AdmissionQueue queue(row.limits, priorities);
       queue.Offer(CallOf(1, 0), kStart);
-      queue.TakeDispatchable(kStart);
+      queue.PopDispatchable(kStart);
       for (std::uint64_t id = 2; id <= 6; ++id) queue.Offer(CallOf(id, 2), kStart);
       for (std::uint64_t id = 7; id <= 11; ++id) queue.Offer(CallOf(id, 1), kStart);
       const Admission urgent = queue.Offer(CallOf(20, 0), kStart);
@@ -262,7 +262,7 @@
   void EvictionLeavesGuaranteedRoom() {
     AdmissionQueue queue({.slots = 1, .queue_bytes = 1000000, .queue_count = 10}, Priorities());
     queue.Offer(CallOf(1, 0), kStart);
-    queue.TakeDispatchable(kStart);
+    queue.PopDispatchable(kStart);
     for (std::uint64_t id = 2; id <= 21; ++id) queue.Offer(CallOf(id, 0), kStart);
     // Of 10 places, 1 is kept for exports and 2 for browsing.
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, queue.Load().queued);
@@ -279,7 +279,7 @@
     for (Priority& priority : priorities) priority.guaranteed_share = 0.0;
     AdmissionQueue queue({.slots = 1, .queue_bytes = 1000, .queue_count = 10}, priorities);
     queue.Offer(CallOf(1, 0), kStart);
-    queue.TakeDispatchable(kStart);
+    queue.PopDispatchable(kStart);
     queue.Offer(CallOf(2, 0, seconds(5), 600), kStart);
     queue.Offer(CallOf(3, 2, seconds(5), 100), kStart);
     queue.Offer(CallOf(4, 2, seconds(5), 100), kStart);
@@ -289,8 +289,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, queue.Load().queued);
     std::vector<OwnedCallId> order;
     for (OwnedCallId running{1}; queue.Load().queued > 0;) {
-      queue.NoteFinished(running, SlotResult::kFailed, kStart);
-      running = queue.TakeDispatchable(kStart).front();
+      queue.OnCallFinished(running, SlotResult::kFailed, kStart);
+      running = queue.PopDispatchable(kStart).front();
       order.push_back(running);
     }
     CPPUNIT_ASSERT((order == std::vector{OwnedCallId{2}, OwnedCallId{3}, OwnedCallId{4}}));
@@ -305,11 +305,11 @@
       for (int count = 0; count < 20; ++count) {
         queue.Offer({OwnedCallId{next++}, 0, now + seconds(5), 1}, now);
       }
-      const std::vector<OwnedCallId> taken = queue.TakeDispatchable(now);
+      const std::vector<OwnedCallId> taken = queue.PopDispatchable(now);
       now += milliseconds(20);
-      for (const OwnedCallId id : taken) queue.NoteFinished(id, result, now);
+      for (const OwnedCallId id : taken) queue.OnCallFinished(id, result, now);
       now += seconds(6);
-      queue.TakeExpired(now);
+      queue.PopExpired(now);
       return taken.size();
     };
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, run_round(SlotResult::kShed));
@@ -326,27 +326,27 @@
   void CancelsQueuedCalls() {
     AdmissionQueue queue({.slots = 1}, Priorities());
     for (std::uint64_t id = 1; id <= 3; ++id) queue.Offer(CallOf(id, 0), kStart);
-    queue.TakeDispatchable(kStart);
+    queue.PopDispatchable(kStart);
     CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{1}));  // It runs.
     CPPUNIT_ASSERT(queue.Cancel(OwnedCallId{2}));
     CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{2}));
-    queue.NoteFinished(OwnedCallId{1}, SlotResult::kCompleted, kStart + milliseconds(1));
-    CPPUNIT_ASSERT(queue.TakeDispatchable(kStart + milliseconds(1)) == std::vector{OwnedCallId{3}});
+    queue.OnCallFinished(OwnedCallId{1}, SlotResult::kCompleted, kStart + milliseconds(1));
+    CPPUNIT_ASSERT(queue.PopDispatchable(kStart + milliseconds(1)) == std::vector{OwnedCallId{3}});
   }
 
   // Guards against a process that wakes late and runs work that was given up meanwhile.
   void NeverDispatchesExpiredCalls() {
     AdmissionQueue queue({.slots = 1}, Priorities());
     queue.Offer(CallOf(1, 0), kStart);
-    queue.TakeDispatchable(kStart);
+    queue.PopDispatchable(kStart);
     queue.Offer(CallOf(2, 0, milliseconds(100)), kStart);
     queue.Offer(CallOf(3, 0, seconds(5)), kStart);
     queue.Offer(CallOf(4, 1, milliseconds(50)), kStart);
     const TimePoint later = kStart + milliseconds(100);
-    queue.NoteFinished(OwnedCallId{1}, SlotResult::kCompleted, later);
-    CPPUNIT_ASSERT(queue.TakeDispatchable(later) == std::vector{OwnedCallId{3}});
-    CPPUNIT_ASSERT((queue.TakeExpired(later) == std::vector{OwnedCallId{4}, OwnedCallId{2}}));
-    CPPUNIT_ASSERT(queue.TakeExpired(later).empty());
+    queue.OnCallFinished(OwnedCallId{1}, SlotResult::kCompleted, later);
+    CPPUNIT_ASSERT(queue.PopDispatchable(later) == std::vector{OwnedCallId{3}});
+    CPPUNIT_ASSERT((queue.PopExpired(later) == std::vector{OwnedCallId{4}, OwnedCallId{2}}));
+    CPPUNIT_ASSERT(queue.PopExpired(later).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, queue.Load().queued);
   }
 
@@ -355,7 +355,7 @@
     std::vector<Priority> priorities = Priorities();
     AdmissionQueue queue({.slots = 2}, priorities);
     for (std::uint64_t id = 1; id <= 2; ++id) queue.Offer(CallOf(id, 2), kStart);
-    queue.TakeDispatchable(kStart);
+    queue.PopDispatchable(kStart);
     queue.Offer(CallOf(3, 0), kStart);
     queue.Offer(CallOf(4, 1), kStart);
     queue.Offer(CallOf(5, 2), kStart);
@@ -364,13 +364,13 @@
     queue.Reconfigure({.slots = 1}, changed);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, queue.Load().queued);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.Load().limit);
-    queue.NoteFinished(OwnedCallId{1}, SlotResult::kCompleted, kStart);
-    CPPUNIT_ASSERT(queue.TakeDispatchable(kStart).empty());
-    queue.NoteFinished(OwnedCallId{2}, SlotResult::kCompleted, kStart);
-    std::vector<OwnedCallId> order = queue.TakeDispatchable(kStart);
+    queue.OnCallFinished(OwnedCallId{1}, SlotResult::kCompleted, kStart);
+    CPPUNIT_ASSERT(queue.PopDispatchable(kStart).empty());
+    queue.OnCallFinished(OwnedCallId{2}, SlotResult::kCompleted, kStart);
+    std::vector<OwnedCallId> order = queue.PopDispatchable(kStart);
     while (queue.Load().queued > 0) {
-      queue.NoteFinished(order.back(), SlotResult::kFailed, kStart);
-      order.push_back(queue.TakeDispatchable(kStart).front());
+      queue.OnCallFinished(order.back(), SlotResult::kFailed, kStart);
+      order.push_back(queue.PopDispatchable(kStart).front());
     }
     std::sort(order.begin(), order.end());
     CPPUNIT_ASSERT((order == std::vector{OwnedCallId{3}, OwnedCallId{4}, OwnedCallId{5}}));
@@ -380,7 +380,7 @@
   void ServesLargeBodyAtOnceWhenIdle() {
     AdmissionQueue queue({.slots = 1, .queue_bytes = 1000}, Priorities());
     CPPUNIT_ASSERT(queue.Offer(CallOf(1, 0, seconds(5), 5000), kStart).refusal == Reason::kNone);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.TakeDispatchable(kStart).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.PopDispatchable(kStart).size());
     CPPUNIT_ASSERT(queue.Offer(CallOf(2, 0, seconds(5), 5000), kStart).refusal ==
                    Reason::kQueueFullBytes);
   }
@@ -402,14 +402,14 @@
     std::size_t run = 0;
     std::size_t given_up = 0;
     std::size_t given_up_late = 0;
-    std::vector<OwnedCallId> running = queue.TakeDispatchable(kStart);
+    std::vector<OwnedCallId> running = queue.PopDispatchable(kStart);
     for (TimePoint now = kStart + kRun; !running.empty(); now += kRun) {
       for (const OwnedCallId id : running) {
-        queue.NoteFinished(id, SlotResult::kCompleted, now);
+        queue.OnCallFinished(id, SlotResult::kCompleted, now);
       }
       run += running.size();
-      running = queue.TakeDispatchable(now);
-      const std::size_t count = queue.TakeHopeless(now).size() + queue.TakeExpired(now).size();
+      running = queue.PopDispatchable(now);
+      const std::size_t count = queue.PopUnservable(now).size() + queue.PopExpired(now).size();
       given_up += count;
       if (now > kStart + kDeadline / 3) given_up_late += count;
     }
@@ -438,18 +438,18 @@
       return call;
     };
     const auto run_next = [&](std::optional<OwnedCallId> quick) {
-      const std::vector<OwnedCallId> running = queue.TakeDispatchable(now);
+      const std::vector<OwnedCallId> running = queue.PopDispatchable(now);
       const bool is_quick = quick && running == std::vector{*quick};
       now += is_quick ? kShort : kBusy;
       for (const OwnedCallId id : running) {
-        queue.NoteFinished(id, SlotResult::kCompleted, now);
+        queue.OnCallFinished(id, SlotResult::kCompleted, now);
       }
     };
     for (int call = 0; call < 20; ++call) {
       queue.Offer(call_of(0, kLong * 2), now);
-      const std::vector<OwnedCallId> running = queue.TakeDispatchable(now);
+      const std::vector<OwnedCallId> running = queue.PopDispatchable(now);
       now += kLong;
-      queue.NoteFinished(running.front(), SlotResult::kCompleted, now);
+      queue.OnCallFinished(running.front(), SlotResult::kCompleted, now);
     }
     int taken = 0;
     for (int call = 0; call < kShortCalls; ++call) {
--- a/tests/auto/policy/tst_crashguard.cpp
+++ b/tests/auto/policy/tst_crashguard.cpp
@@ -85,19 +85,19 @@
   const std::vector<std::string> digest{"d"};
   switch (event) {
     case Event::kOwnCrash:
-      guard.NoteCrash(digest, now);
+      guard.RecordCrash(digest, now);
       return;
     case Event::kReportFromA:
-      guard.NoteReportedCrash(BackendServerId("a"), digest, now);
+      guard.RecordReportedCrash(BackendServerId("a"), digest, now);
       return;
     case Event::kReportFromB:
-      guard.NoteReportedCrash(BackendServerId("b"), digest, now);
+      guard.RecordReportedCrash(BackendServerId("b"), digest, now);
       return;
     case Event::kCompleted:
-      guard.NoteCompleted("d", now);
+      guard.RecordCompletion("d", now);
       return;
     case Event::kCompletedAtA:
-      guard.NoteReportedCompletion(BackendServerId("a"), digest, now);
+      guard.RecordReportedCompletion(BackendServerId("a"), digest, now);
       return;
   }
 }
@@ -122,10 +122,10 @@
       in_flight.push_back(digest);
     }
     ++crashes;
-    m_guards[owner].NoteCrash(in_flight, now);
+    m_guards[owner].RecordCrash(in_flight, now);
     for (std::size_t node = 0; node < m_guards.size(); ++node) {
       if (node == owner) continue;
-      m_guards[node].NoteReportedCrash(NameOf(owner), in_flight, now);
+      m_guards[node].RecordReportedCrash(NameOf(owner), in_flight, now);
     }
     return true;
   }
@@ -181,14 +181,14 @@
   void EndsBansAndSuspicions() {
     CrashGuard guard;
     const std::vector<std::string> digest{"d"};
-    CPPUNIT_ASSERT(guard.NoteCrash(digest, kStart).empty());
-    CPPUNIT_ASSERT(guard.NoteCrash(digest, kStart).empty());
-    CPPUNIT_ASSERT(guard.NoteCrash(digest, kStart) == digest);
+    CPPUNIT_ASSERT(guard.RecordCrash(digest, kStart).empty());
+    CPPUNIT_ASSERT(guard.RecordCrash(digest, kStart).empty());
+    CPPUNIT_ASSERT(guard.RecordCrash(digest, kStart) == digest);
     CPPUNIT_ASSERT(guard.IsBanned("d", kStart + std::chrono::seconds(299)));
     const TimePoint later = kStart + std::chrono::seconds(301);
     CPPUNIT_ASSERT(!guard.IsBanned("d", later) && !guard.IsSuspect("d", later));
     // The count starts anew.
-    CPPUNIT_ASSERT(guard.NoteCrash(digest, later).empty());
+    CPPUNIT_ASSERT(guard.RecordCrash(digest, later).empty());
     CPPUNIT_ASSERT(!guard.IsBanned("d", later));
   }
 
@@ -228,11 +228,11 @@
   void SparesPopularRequestInQuickSeries() {
     CrashGuard guard;
     const std::vector<std::string> in_flight{"poison", "popular"};
-    guard.NoteCompleted("popular", kStart);
+    guard.RecordCompletion("popular", kStart);
     const TimePoint now = kStart + std::chrono::milliseconds(20);
-    guard.NoteCrash(in_flight, now);
-    guard.NoteReportedCrash(BackendServerId("a"), in_flight, now);
-    guard.NoteReportedCrash(BackendServerId("b"), in_flight, now);
+    guard.RecordCrash(in_flight, now);
+    guard.RecordReportedCrash(BackendServerId("a"), in_flight, now);
+    guard.RecordReportedCrash(BackendServerId("b"), in_flight, now);
     CPPUNIT_ASSERT(guard.IsBanned("poison", now));
     CPPUNIT_ASSERT(!guard.IsBanned("popular", now));
   }
@@ -241,13 +241,13 @@
   void WithstandsForgedFlood() {
     CrashGuard guard;
     const std::vector<std::string> running = Digests("well", 200);
-    for (const std::string& digest : running) guard.NoteCompleted(digest, kStart);
+    for (const std::string& digest : running) guard.RecordCompletion(digest, kStart);
     TimePoint now = kStart;
     for (int round = 0; round < 9; ++round) {
       now += std::chrono::seconds(1);
       for (const char* owner : {"a", "b"}) {
-        guard.NoteReportedCrash(BackendServerId(owner), running, now);
-        guard.NoteReportedCrash(BackendServerId(owner), Digests("any", 5000), now);
+        guard.RecordReportedCrash(BackendServerId(owner), running, now);
+        guard.RecordReportedCrash(BackendServerId(owner), Digests("any", 5000), now);
       }
     }
     for (const std::string& digest : running) {
@@ -258,10 +258,10 @@
 
     CrashGuard other;
     const std::vector<std::string> first{"first"};
-    other.NoteCrash(first, kStart);
+    other.RecordCrash(first, kStart);
     for (int round = 0; round < 250; ++round) {
-      other.NoteReportedCrash(BackendServerId("a"), Digests("r" + std::to_string(round), 100),
-                              kStart + std::chrono::seconds(round));
+      other.RecordReportedCrash(BackendServerId("a"), Digests("r" + std::to_string(round), 100),
+                                kStart + std::chrono::seconds(round));
     }
     CPPUNIT_ASSERT(other.IsSuspect("first", kStart + std::chrono::seconds(250)));
   }
@@ -270,8 +270,8 @@
     CrashGuard guard;
     const std::vector<std::string> digests = Digests("d", 5000);
     for (std::size_t index = 0; index < digests.size(); ++index) {
-      guard.NoteCrash(std::span(digests).subspan(index, 1),
-                      kStart + std::chrono::microseconds(index));
+      guard.RecordCrash(std::span(digests).subspan(index, 1),
+                        kStart + std::chrono::microseconds(index));
       CPPUNIT_ASSERT(guard.Size() <= kMaxEntries);
     }
     const TimePoint end = kStart + std::chrono::seconds(1);
--- a/tests/auto/policy/tst_pausedetector.cpp
+++ b/tests/auto/policy/tst_pausedetector.cpp
@@ -26,9 +26,9 @@
       const TimePoint start{std::chrono::seconds(100)};
       PauseDetector detector;
       CPPUNIT_ASSERT(!detector.IsOverdue(start));
-      CPPUNIT_ASSERT(!detector.NoteTick(start));  // The first tick has no predecessor.
+      CPPUNIT_ASSERT(!detector.RecordTick(start));  // The first tick has no predecessor.
       CPPUNIT_ASSERT_EQUAL(row.is_pause, detector.IsOverdue(start + row.gap));
-      CPPUNIT_ASSERT_EQUAL(row.is_pause, detector.NoteTick(start + row.gap));
+      CPPUNIT_ASSERT_EQUAL(row.is_pause, detector.RecordTick(start + row.gap));
       CPPUNIT_ASSERT(!detector.IsOverdue(start + row.gap));
     }
   }
--- a/tests/auto/policy/tst_requestregistry.cpp
+++ b/tests/auto/policy/tst_requestregistry.cpp
@@ -40,7 +40,7 @@
   RequestRegistry registry(self, kStarted, limits);
   registry.SetInventory(Servers(), 7, current);
   for (const BackendServerId& server : Servers()) {
-    registry.NoteVersion(server, Incarnation{1}, 7, current);
+    registry.RecordConfigurationVersion(server, Incarnation{1}, 7, current);
   }
   return registry;
 }
@@ -131,31 +131,34 @@
     for (const Row& row : rows) {
       const std::string id = IdAt(row.created);
       RequestRegistry registry = RegistryAt(0, id);
-      const RequestDecision decision = registry.Arrive(id, kDigest, {}, kNow);
+      const RequestDecision decision = registry.RegisterArrival(id, kDigest, {}, kNow);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), static_cast<int>(row.reason),
                                    static_cast<int>(decision.reason));
     }
     for (const milliseconds after_start : {milliseconds(-5000), milliseconds(2000)}) {
       const std::string id = IdAt(kStarted + after_start);
       RequestRegistry registry = RegistryAt(0, id, kStarted - minutes(1));
-      CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kStarted + seconds(5)).reason ==
+      CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kStarted + seconds(5)).reason ==
                      Reason::kHomeRestarted);
     }
     const std::string id = IdAt(kStarted + milliseconds(2001));
     RequestRegistry registry = RegistryAt(0, id, kStarted - minutes(1));
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kStarted + seconds(5)).kind == Kind::kAccept);
-    CPPUNIT_ASSERT(registry.Arrive("no id", kDigest, {}, kNow).reason == Reason::kRequestIdInvalid);
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kStarted + seconds(5)).kind ==
+                   Kind::kAccept);
+    CPPUNIT_ASSERT(registry.RegisterArrival("no id", kDigest, {}, kNow).reason ==
+                   Reason::kRequestIdInvalid);
   }
 
   // Guards against a wall clock that is set back after an id was forgotten.
   void ClockSetBackDoesNotRenewForgottenIds() {
     const std::string id = IdAt(kNow);
     RequestRegistry registry = RegistryAt(0, id);
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).kind == Kind::kAccept);
-    registry.NoteRan(id, {});
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).kind == Kind::kAccept);
+    registry.RecordResponse(id, {});
     registry.Sweep({}, kNow + minutes(11));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, registry.Count());
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).reason == Reason::kRequestIdExpired);
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).reason ==
+                   Reason::kRequestIdExpired);
     CPPUNIT_ASSERT(registry.Release(id, kNow).reason == Reason::kRequestIdExpired);
   }
 
@@ -163,34 +166,36 @@
   void RefusesIdOfAnotherRequest() {
     const std::string id = IdAt(kNow);
     RequestRegistry registry = RegistryAt(0, id);
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).kind == Kind::kAccept);
-    CPPUNIT_ASSERT(registry.Arrive(id, "another digest", {}, kNow).reason ==
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).kind == Kind::kAccept);
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, "another digest", {}, kNow).reason ==
                    Reason::kRequestIdConflict);
-    registry.NoteRan(id, KeptRequestAnswer{"head", "body"});
-    CPPUNIT_ASSERT(registry.Arrive(id, "another digest", {}, kNow).reason ==
+    registry.RecordResponse(id, StoredResponse{"head", "body"});
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, "another digest", {}, kNow).reason ==
                    Reason::kRequestIdConflict);
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).kind == Kind::kReplay);
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).kind == Kind::kReplay);
   }
 
   void AnswersResends() {
     const std::string id = IdAt(kNow);
     RequestRegistry registry = RegistryAt(0, id);
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).kind == Kind::kAccept);
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).reason == Reason::kAlreadyRunning);
-    registry.NoteNotRun(id);
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).kind == Kind::kAccept);
-    registry.NoteRan(id, {"head", "body"});
-    const RequestDecision replay = registry.Arrive(id, kDigest, {}, kNow + minutes(1));
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).kind == Kind::kAccept);
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).reason ==
+                   Reason::kAlreadyRunning);
+    registry.RecordNotRun(id);
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).kind == Kind::kAccept);
+    registry.RecordResponse(id, {"head", "body"});
+    const RequestDecision replay = registry.RegisterArrival(id, kDigest, {}, kNow + minutes(1));
     CPPUNIT_ASSERT(replay.kind == Kind::kReplay);
-    CPPUNIT_ASSERT_EQUAL(std::string("body"), replay.answer->body);
-    registry.NoteNotRun(id);  // A late refusal of another send must not make it forgotten.
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).kind == Kind::kReplay);
+    CPPUNIT_ASSERT_EQUAL(std::string("body"), replay.response->body);
+    registry.RecordNotRun(id);  // A late refusal of another send must not make it forgotten.
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).kind == Kind::kReplay);
 
     const std::string failed = IdAt(kNow, "b");
     RequestRegistry other = RegistryAt(0, failed);
-    other.Arrive(failed, kDigest, {}, kNow);
-    other.NoteUnknown(failed, Reason::kBackendClosed);
-    CPPUNIT_ASSERT(other.Arrive(failed, kDigest, {}, kNow).reason == Reason::kBackendClosed);
+    other.RegisterArrival(failed, kDigest, {}, kNow);
+    other.RecordUnknownOutcome(failed, Reason::kBackendClosed);
+    CPPUNIT_ASSERT(other.RegisterArrival(failed, kDigest, {}, kNow).reason ==
+                   Reason::kBackendClosed);
   }
 
   void AsksHigherServers() {
@@ -198,7 +203,8 @@
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     for (std::size_t position = 0; position < order.size(); ++position) {
       RequestRegistry registry = RegistryAt(position, id);
-      std::vector<BackendServerId> asked = registry.Arrive(id, kDigest, {}, kNow).ask;
+      std::vector<BackendServerId> asked =
+          registry.RegisterArrival(id, kDigest, {}, kNow).servers_to_query;
       CPPUNIT_ASSERT_EQUAL(position, asked.size());
       for (std::size_t higher = 0; higher < position; ++higher) {
         CPPUNIT_ASSERT(std::count(asked.begin(), asked.end(), order[higher]) == 1);
@@ -214,8 +220,9 @@
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     const std::vector<BackendServerId> all_lower{order[1], order[2]};
     const auto asked = [&](RequestRegistry& registry, const std::string& request) {
-      std::vector<BackendServerId> ask = registry.Arrive(request, kDigest, {}, kNow).ask;
-      registry.NoteNotRun(request);
+      std::vector<BackendServerId> ask =
+          registry.RegisterArrival(request, kDigest, {}, kNow).servers_to_query;
+      registry.RecordNotRun(request);
       std::sort(ask.begin(), ask.end(),
                 [&](const auto& first, const auto& second) { return IsBefore(first, second, id); });
       return ask;
@@ -225,26 +232,26 @@
     RequestRegistry fresh(order[0], kStarted);
     fresh.SetInventory(Servers(), 7, kStarted);
     CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
-    fresh.NoteVersion(order[1], Incarnation{1}, 6, kStarted);
+    fresh.RecordConfigurationVersion(order[1], Incarnation{1}, 6, kStarted);
     CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
-    fresh.NoteVersion(order[1], Incarnation{1}, 7, kStarted);
+    fresh.RecordConfigurationVersion(order[1], Incarnation{1}, 7, kStarted);
     CPPUNIT_ASSERT(asked(fresh, id) == std::vector{order[2]});
-    fresh.NoteVersion(order[2], Incarnation{1}, 7, kNow - seconds(1));
+    fresh.RecordConfigurationVersion(order[2], Incarnation{1}, 7, kNow - seconds(1));
     CPPUNIT_ASSERT(asked(fresh, id) == std::vector{order[2]});  // The id may be older than that.
-    fresh.NoteVersion(order[1], Incarnation{2}, 0, kStarted);   // Restarted.
+    fresh.RecordConfigurationVersion(order[1], Incarnation{2}, 0, kStarted);  // Restarted.
     CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
 
     // A server that was taken out of the inventory may not know it.
     RequestRegistry registry = RegistryAt(0, id);
     registry.SetInventory(std::vector{order[0], order[1]}, 8, kNow - minutes(2));
     CPPUNIT_ASSERT(asked(registry, id) == all_lower);
-    registry.NoteVersion(order[1], Incarnation{1}, 8, kNow - minutes(1));
+    registry.RecordConfigurationVersion(order[1], Incarnation{1}, 8, kNow - minutes(1));
     CPPUNIT_ASSERT(asked(registry, id) == std::vector{order[2]});
-    registry.NoteVersion(order[2], Incarnation{1}, 8, kNow - minutes(1));
+    registry.RecordConfigurationVersion(order[2], Incarnation{1}, 8, kNow - minutes(1));
     CPPUNIT_ASSERT(asked(registry, id).empty());
 
     // A server that is ahead may have passed over the version that this node has.
-    registry.NoteVersion(order[1], Incarnation{1}, 9, kNow - minutes(1));
+    registry.RecordConfigurationVersion(order[1], Incarnation{1}, 9, kNow - minutes(1));
     CPPUNIT_ASSERT(asked(registry, id) == std::vector{order[1]});
     registry.SetInventory(std::vector{order[0], order[1]}, 9, kNow - seconds(30));
     CPPUNIT_ASSERT(asked(registry, id).empty());
@@ -267,7 +274,8 @@
         if (server == order[0]) return row.absent_since;
         return std::nullopt;
       };
-      CPPUNIT_ASSERT_EQUAL(row.asked, registry.Arrive(id, kDigest, absent, kNow).ask.size());
+      CPPUNIT_ASSERT_EQUAL(
+          row.asked, registry.RegisterArrival(id, kDigest, absent, kNow).servers_to_query.size());
     }
   }
 
@@ -276,12 +284,12 @@
     RequestRegistry unseen = RegistryAt(0, id);
     CPPUNIT_ASSERT(unseen.Release(id, kNow).released);
     CPPUNIT_ASSERT(unseen.Release(id, kNow).released);
-    CPPUNIT_ASSERT(unseen.Arrive(id, kDigest, {}, kNow).reason == Reason::kHomeReleased);
+    CPPUNIT_ASSERT(unseen.RegisterArrival(id, kDigest, {}, kNow).reason == Reason::kHomeReleased);
 
     RequestRegistry ran = RegistryAt(0, id);
-    ran.Arrive(id, kDigest, {}, kNow);
-    ran.NoteRan(id, {});
-    const ReleaseAnswer answer = ran.Release(id, kNow);
+    ran.RegisterArrival(id, kDigest, {}, kNow);
+    ran.RecordResponse(id, {});
+    const ReleaseReply answer = ran.Release(id, kNow);
     CPPUNIT_ASSERT(!answer.released && answer.reason == Reason::kAlreadyRan);
 
     // It may have run under the predecessor of a restarted process.
@@ -292,27 +300,29 @@
   void BoundsEntriesAndAnswers() {
     RegistryLimits limits;
     limits.entries = 2;
-    limits.all_answers_bytes = 100;
-    limits.answer_bytes = 60;
+    limits.total_response_bytes = 100;
+    limits.response_bytes = 60;
     RequestRegistry registry(BackendServerId("s1"), kStarted, limits);
     registry.SetInventory(std::vector{BackendServerId("s1")}, 1, kStarted);
     const std::string first = IdAt(kNow, "1");
     const std::string second = IdAt(kNow, "2");
-    for (const std::string& id : {first, second}) registry.Arrive(id, kDigest, {}, kNow);
-    CPPUNIT_ASSERT(registry.Arrive(IdAt(kNow, "3"), kDigest, {}, kNow).reason ==
+    for (const std::string& id : {first, second}) registry.RegisterArrival(id, kDigest, {}, kNow);
+    CPPUNIT_ASSERT(registry.RegisterArrival(IdAt(kNow, "3"), kDigest, {}, kNow).reason ==
                    Reason::kRegistryFull);
     CPPUNIT_ASSERT(registry.Release(IdAt(kNow, "3"), kNow).reason == Reason::kRegistryFull);
-    registry.NoteRan(first, {"", std::string(60, 'x')});
-    CPPUNIT_ASSERT(registry.Arrive(first, kDigest, {}, kNow).kind == Kind::kReplay);
-    registry.NoteRan(second, {"", std::string(60, 'x')});
-    CPPUNIT_ASSERT(registry.Arrive(first, kDigest, {}, kNow).reason == Reason::kAlreadyRan);
-    CPPUNIT_ASSERT(registry.Arrive(second, kDigest, {}, kNow).kind == Kind::kReplay);
+    registry.RecordResponse(first, {"", std::string(60, 'x')});
+    CPPUNIT_ASSERT(registry.RegisterArrival(first, kDigest, {}, kNow).kind == Kind::kReplay);
+    registry.RecordResponse(second, {"", std::string(60, 'x')});
+    CPPUNIT_ASSERT(registry.RegisterArrival(first, kDigest, {}, kNow).reason ==
+                   Reason::kAlreadyRan);
+    CPPUNIT_ASSERT(registry.RegisterArrival(second, kDigest, {}, kNow).kind == Kind::kReplay);
     // Old entries make room.
     const WallTime later = kNow + minutes(11);
     const std::string large = IdAt(later, "4");
-    CPPUNIT_ASSERT(registry.Arrive(large, kDigest, {}, later).kind == Kind::kAccept);
-    registry.NoteRan(large, {"", std::string(61, 'x')});
-    CPPUNIT_ASSERT(registry.Arrive(large, kDigest, {}, later).reason == Reason::kAlreadyRan);
+    CPPUNIT_ASSERT(registry.RegisterArrival(large, kDigest, {}, later).kind == Kind::kAccept);
+    registry.RecordResponse(large, {"", std::string(61, 'x')});
+    CPPUNIT_ASSERT(registry.RegisterArrival(large, kDigest, {}, later).reason ==
+                   Reason::kAlreadyRan);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, registry.Count());
   }
 
@@ -320,7 +330,7 @@
     const std::string id = IdAt(kNow);
     RequestRegistry registry(BackendServerId("s9"), kStarted);
     registry.SetInventory(Servers(), 1, kStarted);
-    CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).reason == Reason::kWrongServer);
+    CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).reason == Reason::kWrongServer);
     CPPUNIT_ASSERT(registry.Release(id, kNow).released);
   }
 };
--- a/tests/auto/policy/tst_retrypolicy.cpp
+++ b/tests/auto/policy/tst_retrypolicy.cpp
@@ -97,11 +97,11 @@
   Budgets budgets = MakeBudgets(row.retry_share, 0.0);
   budgets.refusals_are_free = row.refusals_are_free;
   RetryPolicy policy;
-  policy.NoteFirstAttempt(TestService(), budgets, kStart);
+  policy.RecordFirstAttempt(TestService(), budgets, kStart);
   FailedAttempt failed = MakeFailed(row.reason, true, true, row.attempts);
   failed.reached_server = row.reached_server;
   failed.refusals = row.refusals;
-  failed.most_attempts = 2;
+  failed.max_attempts = 2;
   CPPUNIT_ASSERT(row.decision == policy.DecideRetry(failed, budgets, kStart));
 }
 
@@ -149,12 +149,12 @@
       }
     }
     for (due += row.per_second / 10.0; due >= 1.0; due -= 1.0) {
-      nodes[random.Below(nodes.size())].NoteFirstAttempt(budgets, now);
+      nodes[random.Below(nodes.size())].RecordFirstAttempt(budgets, now);
       calls[static_cast<std::size_t>(step)] += 1.0;
     }
     if (step < kSavingSteps) continue;  // Nothing fails, and budgets are saved up.
     for (RetryBudget& node : nodes) {
-      while (node.TakeRetry(budgets, now)) repeats[static_cast<std::size_t>(step)] += 1.0;
+      while (node.TryConsumeRetry(budgets, now)) repeats[static_cast<std::size_t>(step)] += 1.0;
     }
   }
   for (int end = kWindow; end <= kSteps; ++end) {
@@ -185,7 +185,7 @@
   // Whether the call was answered below 500.
   bool Call(std::size_t level, TimePoint now) {
     if (level == m_policies.size()) return true;
-    m_policies[level].NoteFirstAttempt(TestService(), m_budgets, now);
+    m_policies[level].RecordFirstAttempt(TestService(), m_budgets, now);
     ++first_attempts[level];
     for (std::size_t sends = 1;; ++sends) {
       ++attempts[level];
@@ -245,7 +245,7 @@
     std::size_t retries = 0;
     for (std::size_t call = 0; call < kCalls; ++call) {
       const TimePoint now = kStart + std::chrono::milliseconds(call);
-      policy.NoteFirstAttempt(TestService(), budgets, now);
+      policy.RecordFirstAttempt(TestService(), budgets, now);
       const Reason decision =
           policy.DecideRetry(MakeFailed(Reason::kQueueFullTime, true, true, 1), budgets, now);
       CPPUNIT_ASSERT(decision == Reason::kNone || decision == Reason::kRetryBudget);
@@ -259,7 +259,7 @@
   void LetsQuietServiceRetry() {
     RetryPolicy policy;
     const Budgets budgets = MakeBudgets(0.1, 0.05);
-    policy.NoteFirstAttempt(TestService(), budgets, kStart);
+    policy.RecordFirstAttempt(TestService(), budgets, kStart);
     CPPUNIT_ASSERT(policy.DecideRetry(MakeFailed(Reason::kDraining, true, false, 1), budgets,
                                       kStart) == Reason::kNone);
   }
@@ -269,10 +269,10 @@
     const Budgets budgets = MakeBudgets(0.0, 0.5);
     for (int call = 0; call < 1000; ++call) {
       const TimePoint now = kStart + std::chrono::seconds(call);
-      policy.NoteFirstAttempt(TestService(), budgets, now);
+      policy.RecordFirstAttempt(TestService(), budgets, now);
       CPPUNIT_ASSERT(policy.DecideRetry(MakeFailed(Reason::kDraining, true, true, 1), budgets,
                                         now) == Reason::kRetryBudget);
-      CPPUNIT_ASSERT(!policy.TakeHedge(TestService(), budgets, now));
+      CPPUNIT_ASSERT(!policy.TryConsumeHedge(TestService(), budgets, now));
     }
   }
 
@@ -290,7 +290,7 @@
     TimePoint now = kStart;
     for (int call = 0; call < 20000; ++call) {
       now += std::chrono::milliseconds(2);
-      policy.NoteFirstAttempt(TestService(), budgets, now);
+      policy.RecordFirstAttempt(TestService(), budgets, now);
     }
     std::size_t retries = 0;
     while (policy.DecideRetry(MakeFailed(Reason::kLinkSilent, false, true, 1), budgets, now) ==
@@ -309,8 +309,8 @@
     std::size_t retries = 0;
     for (std::size_t call = 0; call < kCalls; ++call) {
       const TimePoint now = kStart + std::chrono::milliseconds(call);
-      policy.NoteFirstAttempt(TestService(), budgets, now);
-      if (policy.TakeHedge(TestService(), budgets, now)) ++hedges;
+      policy.RecordFirstAttempt(TestService(), budgets, now);
+      if (policy.TryConsumeHedge(TestService(), budgets, now)) ++hedges;
       if (policy.DecideRetry(MakeFailed(Reason::kDraining, true, true, 1), budgets, now) ==
           Reason::kNone) {
         ++retries;
@@ -327,12 +327,12 @@
     RetryPolicy policy;
     CPPUNIT_ASSERT(!policy.HedgeDelay(TestService()));
     for (int answer = 1; answer <= 20; ++answer) {
-      policy.NoteAnswerTime(TestService(), std::chrono::milliseconds(answer));
+      policy.RecordResponseTime(TestService(), std::chrono::milliseconds(answer));
     }
     CPPUNIT_ASSERT(!policy.HedgeDelay(TestService()));
     for (int round = 0; round < 20; ++round) {
       for (int answer = 1; answer <= 100; ++answer) {
-        policy.NoteAnswerTime(TestService(), std::chrono::milliseconds(answer));
+        policy.RecordResponseTime(TestService(), std::chrono::milliseconds(answer));
       }
     }
     const Duration delay = policy.HedgeDelay(TestService()).value();
--- a/tests/auto/policy/tst_router.cpp
+++ b/tests/auto/policy/tst_router.cpp
@@ -38,7 +38,7 @@
 }
 
 std::vector<BackendServerId> SubsetWith(std::size_t servers, const std::string& node) {
-  const Place place{BackendServerId(node), RegionId("west"), DataCentreId("west-1")};
+  const NodeLocation place{BackendServerId(node), RegionId("west"), DataCentreId("west-1")};
   Router router("adaptive", place, 1);
   router.SetDeclaration(SimulatedDeclaration(servers, 0, 0), TimePoint{});
   return router.SubsetOf(ServiceId("s"));
@@ -175,10 +175,11 @@
   }
 
   void RefusesForPaidLinkBudget() {
-    Router router("adaptive", Place{BackendServerId("n0"), RegionId("west"), DataCentreId("w")}, 1);
+    Router router("adaptive",
+                  NodeLocation{BackendServerId("n0"), RegionId("west"), DataCentreId("w")}, 1);
     const TimePoint now{std::chrono::seconds(1)};
     router.SetDeclaration(SimulatedDeclaration(1, 1, 1000), now);
-    router.NoteLoad(BackendServerId("f0"), IdleLoad(1), now);
+    router.RecordLoad(BackendServerId("f0"), IdleLoad(1), now);
     router.SetReachable(BackendServerId("f0"), true, now);
     RoutingRequest request{ServiceId("s"), true, true, 5000, {}};
     const RoutingChoice first = router.Choose(request, now);
@@ -189,27 +190,27 @@
     request.may_cross_regions = true;
     const TimePoint later = now + std::chrono::seconds(6);
     CPPUNIT_ASSERT(router.Choose(request, later).refusal == Reason::kNone);
-    router.NotePaidLinkBytes(100000, later);
+    router.RecordPaidLinkBytes(100000, later);
     CPPUNIT_ASSERT(router.Choose(request, later + std::chrono::seconds(6)).refusal ==
                    Reason::kPaidLinkBudget);
   }
 
   void AsksOnlyNearServersThatAreOpen() {
     Router router = AskingRouter();
-    std::vector<BackendServerId> asked = router.ServersToAsk(AskedCall(), 3, kAskedAt);
+    std::vector<BackendServerId> asked = router.ServersToQuery(AskedCall(), 3, kAskedAt);
     std::sort(asked.begin(), asked.end());
     CPPUNIT_ASSERT(asked == (std::vector{BackendServerId("n0"), BackendServerId("n1")}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, router.ServersToAsk(AskedCall(), 1, kAskedAt).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, router.ServersToQuery(AskedCall(), 1, kAskedAt).size());
     router.SetReachable(BackendServerId("n0"), false, kAskedAt);
-    asked = router.ServersToAsk(AskedCall(), 3, kAskedAt);
+    asked = router.ServersToQuery(AskedCall(), 3, kAskedAt);
     CPPUNIT_ASSERT(asked == std::vector{BackendServerId("n1")});
   }
 
   void TakesTheLeastOffer() {
     Router router = AskingRouter();
-    const std::array offers{LoadOffer{BackendServerId("n0"), Duration(300000)},
-                            LoadOffer{BackendServerId("n1"), Duration(100000)}};
-    const RoutingChoice choice = router.ChooseAmong(AskedCall(), offers, kAskedAt);
+    const std::array estimates{LoadEstimate{BackendServerId("n0"), Duration(300000)},
+                               LoadEstimate{BackendServerId("n1"), Duration(100000)}};
+    const RoutingChoice choice = router.ChooseAmong(AskedCall(), estimates, kAskedAt);
     CPPUNIT_ASSERT(choice.server == BackendServerId("n1"));
     CPPUNIT_ASSERT(!choice.crosses_regions);
   }
@@ -217,7 +218,7 @@
   void LeavesTheRegionOnlyForCallsThatWouldBeLate() {
     Router router = AskingRouter();
     RoutingRequest call = AskedCall();
-    const std::array slow{LoadOffer{BackendServerId("n0"), Duration(900000)}};
+    const std::array slow{LoadEstimate{BackendServerId("n0"), Duration(900000)}};
     call.target_left = Duration(1000000);
     CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kAskedAt).crosses_regions);
     call.target_left = Duration(500000);
@@ -235,9 +236,9 @@
     call.target_left = Duration(0);
     call.bytes = 5000;
     // Late, but still sooner than across the link.
-    const std::array offers{LoadOffer{BackendServerId("n0"), Duration(20000)}};
+    const std::array estimates{LoadEstimate{BackendServerId("n0"), Duration(20000)}};
     for (int index = 0; index < 10; ++index) {
-      CPPUNIT_ASSERT(!router.ChooseAmong(call, offers, kAskedAt).crosses_regions);
+      CPPUNIT_ASSERT(!router.ChooseAmong(call, estimates, kAskedAt).crosses_regions);
     }
     CPPUNIT_ASSERT(router.Choose(call, kAskedAt).crosses_regions);
   }
@@ -278,13 +279,14 @@
   void GivesNothingToDrainingServers() {
     for (const std::string_view strategy :
          {"adaptive", "round_robin", "random", "least_reported"}) {
-      Router router(strategy, Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 7);
+      Router router(strategy,
+                    NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 7);
       const TimePoint now{std::chrono::seconds(1)};
       router.SetDeclaration(SimulatedDeclaration(2, 0, 0), now);
       ReportedLoad draining = IdleLoad(1);
       draining.draining = true;
-      router.NoteLoad(BackendServerId("n0"), draining, now);
-      router.NoteLoad(BackendServerId("n1"), IdleLoad(2), now);
+      router.RecordLoad(BackendServerId("n0"), draining, now);
+      router.RecordLoad(BackendServerId("n1"), IdleLoad(2), now);
       router.SetReachable(BackendServerId("n0"), true, now);
       router.SetReachable(BackendServerId("n1"), true, now);
       const RoutingRequest request{ServiceId("s"), true, true, 0, {}};
@@ -298,13 +300,14 @@
 
   // Guards against sending many calls at once to a server whose link has just come back.
   void TakesHealedServerBackByTrial() {
-    Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
+    Router router("adaptive",
+                  NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
     router.SetDeclaration(SimulatedDeclaration(2, 0, 0), now);
     const BackendServerId healed("n0");
     const BackendServerId other("n1");
     for (const BackendServerId& id : {healed, other}) {
-      router.NoteLoad(id, IdleLoad(1), now);
+      router.RecordLoad(id, IdleLoad(1), now);
       router.SetReachable(id, true, now);
     }
     router.SetReachable(healed, false, now);
@@ -313,11 +316,11 @@
     CPPUNIT_ASSERT(router.Choose(request, now).server == other);
     request.idempotent = true;
     CPPUNIT_ASSERT(router.Choose(request, now).server == healed);
-    router.NoteSent(healed, CallId{1}, 0, now);
+    router.RecordSent(healed, CallId{1}, 0, now);
     for (int call = 0; call < 50; ++call) {
       CPPUNIT_ASSERT(router.Choose(request, now).server == other);
     }
-    router.NoteEnded(healed, CallId{1}, AttemptResult::kAnswered, now);
+    router.RecordEnded(healed, CallId{1}, AttemptResult::kAnswered, now);
     int chosen = 0;
     for (int call = 0; call < 1000; ++call) {
       if (router.Choose(request, now).server == healed) ++chosen;
@@ -327,20 +330,21 @@
 
   // Guards against a service without servers when the calls themselves are at fault.
   void EjectsAtMostHalf() {
-    Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
+    Router router("adaptive",
+                  NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     TimePoint now{std::chrono::seconds(1)};
     router.SetDeclaration(SimulatedDeclaration(5, 0, 0), now);
     for (int server = 0; server < 5; ++server) {
       const BackendServerId id("n" + std::to_string(server));
-      router.NoteLoad(id, IdleLoad(1), now);
+      router.RecordLoad(id, IdleLoad(1), now);
       router.SetReachable(id, true, now);
     }
     const RoutingRequest request{ServiceId("s"), true, true, 0, {}};
     std::map<std::string, int> last_calls;
     for (std::uint64_t call = 1; call <= 400; ++call) {
       const RoutingChoice choice = router.Choose(request, now);
-      router.NoteSent(choice.server, CallId{call}, 0, now);
-      router.NoteEnded(choice.server, CallId{call}, AttemptResult::kError, now);
+      router.RecordSent(choice.server, CallId{call}, 0, now);
+      router.RecordEnded(choice.server, CallId{call}, AttemptResult::kError, now);
       now += std::chrono::microseconds(100);
       if (call > 200) ++last_calls[choice.server.Value()];
     }
@@ -349,17 +353,18 @@
 
   // Guards against calls that use up their attempts on servers known to refuse connections.
   void AvoidsServersWithoutBackend() {
-    Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
+    Router router("adaptive",
+                  NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
     router.SetDeclaration(SimulatedDeclaration(4, 0, 0), now);
     for (int server = 0; server < 4; ++server) {
       const BackendServerId id("n" + std::to_string(server));
-      router.NoteLoad(id, IdleLoad(1), now);
+      router.RecordLoad(id, IdleLoad(1), now);
       router.SetReachable(id, true, now);
       if (server == 3) continue;
-      router.NoteSent(id, CallId{static_cast<std::uint64_t>(server) + 1}, 0, now);
-      router.NoteEnded(id, CallId{static_cast<std::uint64_t>(server) + 1},
-                       AttemptResult::kNoBackend, now);
+      router.RecordSent(id, CallId{static_cast<std::uint64_t>(server) + 1}, 0, now);
+      router.RecordEnded(id, CallId{static_cast<std::uint64_t>(server) + 1},
+                         AttemptResult::kNoBackend, now);
     }
     const RoutingRequest request{ServiceId("s"), true, true, 0, {}};
     for (int call = 0; call < 50; ++call) {
@@ -378,14 +383,14 @@
     const BackendServer& near = declaration->backend_servers[0];
     const BackendServer& far = declaration->backend_servers[1];
     CPPUNIT_ASSERT(near.region != far.region);
-    Router router("adaptive", Place{BackendServerId("i"), near.region, near.data_centre}, 3);
+    Router router("adaptive", NodeLocation{BackendServerId("i"), near.region, near.data_centre}, 3);
     router.SetDeclaration(declaration, now);
     for (const BackendServerId& id : {near.id, far.id}) {
-      router.NoteLoad(id, IdleLoad(1), now);
+      router.RecordLoad(id, IdleLoad(1), now);
       router.SetReachable(id, true, now);
     }
     for (std::uint64_t call = 1; call <= 100; ++call) {
-      router.NoteSent(near.id, CallId{call}, 1, now);
+      router.RecordSent(near.id, CallId{call}, 1, now);
     }
     RoutingRequest request{ServiceId("s"), true, true, 0, {}};
     CPPUNIT_ASSERT(router.Choose(request, now).server == near.id);
@@ -395,7 +400,8 @@
 
   // Guards against scores that are mixed up when servers move between services and regions.
   void ReplacesServersOfASubset() {
-    Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
+    Router router("adaptive",
+                  NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
     RandomSource random(11);
     for (int round = 0; round < 200; ++round) {
@@ -434,11 +440,11 @@
 
   // A router with two near servers and a far one, all open, and room for one call on the paid link.
   static Router AskingRouter() {
-    Router router("adaptive", Place{BackendServerId("self"), RegionId("west"), DataCentreId("w")},
-                  1);
+    Router router("adaptive",
+                  NodeLocation{BackendServerId("self"), RegionId("west"), DataCentreId("w")}, 1);
     router.SetDeclaration(SimulatedDeclaration(2, 1, 1000), kAskedAt);
     for (const char* server : {"n0", "n1", "f0"}) {
-      router.NoteLoad(BackendServerId(server), IdleLoad(1), kAskedAt);
+      router.RecordLoad(BackendServerId(server), IdleLoad(1), kAskedAt);
       router.SetReachable(BackendServerId(server), true, kAskedAt);
     }
     return router;
--- a/tests/auto/policy/tst_sendguard.cpp
+++ b/tests/auto/policy/tst_sendguard.cpp
@@ -31,59 +31,69 @@
  public:
   void RefusesLateCallsAndOtherIncarnations() {
     const SendGuard guard(kOwner);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kNowUs).refusal == Reason::kNone);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kNowUs, kNowUs).refusal == Reason::kExpired);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), Incarnation{8}, kExpiryUs, kNowUs).refusal ==
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kNowUs).refusal ==
+                   Reason::kNone);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kNowUs, kNowUs).refusal ==
+                   Reason::kExpired);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), Incarnation{8}, kExpiryUs, kNowUs).refusal ==
                    Reason::kWrongIncarnation);
   }
 
   // Guards against a call that arrives after its ingress was told that it had not run.
   void SettledCallNeverRuns() {
     SendGuard guard(kOwner);
-    CPPUNIT_ASSERT(guard.Settle(KeyOf(1), kExpiryUs, kNowUs) == EndedCall::kNeverSeen);
-    CPPUNIT_ASSERT(guard.Settle(KeyOf(1), kExpiryUs, kNowUs) == EndedCall::kNotRun);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kNowUs).refusal == Reason::kCancelled);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(2), kOwner, kExpiryUs, kNowUs).refusal == Reason::kNone);
+    CPPUNIT_ASSERT(guard.ResolveState(KeyOf(1), kExpiryUs, kNowUs) ==
+                   InactiveCallState::kNeverSeen);
+    CPPUNIT_ASSERT(guard.ResolveState(KeyOf(1), kExpiryUs, kNowUs) == InactiveCallState::kNotRun);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kNowUs).refusal ==
+                   Reason::kCancelled);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(2), kOwner, kExpiryUs, kNowUs).refusal ==
+                   Reason::kNone);
   }
 
   void SecondDeliveryNeverRuns() {
     SendGuard guard(kOwner);
-    guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
-    guard.NoteCancelled(KeyOf(1), kExpiryUs, kNowUs);  // Too late to change what happened.
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kNowUs).ignore);
-    CPPUNIT_ASSERT(guard.Settle(KeyOf(1), kExpiryUs, kNowUs) == EndedCall::kMayHaveRun);
-    guard.NoteRefused(KeyOf(2), kExpiryUs, kNowUs);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(2), kOwner, kExpiryUs, kNowUs).refusal == Reason::kCancelled);
-    CPPUNIT_ASSERT(guard.Settle(KeyOf(2), kExpiryUs, kNowUs) == EndedCall::kNotRun);
+    guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
+    guard.RecordCancelled(KeyOf(1), kExpiryUs, kNowUs);  // Too late to change what happened.
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kNowUs).ignore);
+    CPPUNIT_ASSERT(guard.ResolveState(KeyOf(1), kExpiryUs, kNowUs) ==
+                   InactiveCallState::kMayHaveRun);
+    guard.RecordRefused(KeyOf(2), kExpiryUs, kNowUs);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(2), kOwner, kExpiryUs, kNowUs).refusal ==
+                   Reason::kCancelled);
+    CPPUNIT_ASSERT(guard.ResolveState(KeyOf(2), kExpiryUs, kNowUs) == InactiveCallState::kNotRun);
   }
 
   // Guards against "not run" for a call that ran and whose tombstone was swept.
   void QueryAfterExpiryProvesNothing() {
     SendGuard guard(kOwner);
-    guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
-    for (const std::uint64_t now_us : {kExpiryUs + 1, kExpiryUs + kOwnerMemoryUs + 1}) {
+    guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
+    for (const std::uint64_t now_us : {kExpiryUs + 1, kExpiryUs + kTombstoneRetentionUs + 1}) {
       guard.Sweep(now_us);
-      CPPUNIT_ASSERT(guard.Settle(KeyOf(1), kExpiryUs, now_us) == EndedCall::kMayHaveRun);
+      CPPUNIT_ASSERT(guard.ResolveState(KeyOf(1), kExpiryUs, now_us) ==
+                     InactiveCallState::kMayHaveRun);
     }
   }
 
   // Guards against "unknown" for a call that an owner can prove not to have run at its deadline.
   void QueryJustAfterExpiryProvesNeverSeen() {
     SendGuard guard(kOwner);
-    const std::uint64_t last_proof_us = kExpiryUs + kOwnerMemoryUs - 1;
-    CPPUNIT_ASSERT(guard.Settle(KeyOf(1), kExpiryUs, last_proof_us) == EndedCall::kNeverSeen);
-    CPPUNIT_ASSERT(guard.Settle(KeyOf(2), kExpiryUs, last_proof_us + 1) == EndedCall::kMayHaveRun);
+    const std::uint64_t last_proof_us = kExpiryUs + kTombstoneRetentionUs - 1;
+    CPPUNIT_ASSERT(guard.ResolveState(KeyOf(1), kExpiryUs, last_proof_us) ==
+                   InactiveCallState::kNeverSeen);
+    CPPUNIT_ASSERT(guard.ResolveState(KeyOf(2), kExpiryUs, last_proof_us + 1) ==
+                   InactiveCallState::kMayHaveRun);
   }
 
   void ForgetsOnlyExpiredCalls() {
     SendGuard guard(kOwner);
-    guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
+    guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
     // A second delivery after the expiry must not be answered with "not run".
     guard.Sweep(kForgottenUs - 1);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kForgottenUs - 1).ignore);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kForgottenUs - 1).ignore);
     guard.Sweep(kForgottenUs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, guard.Count());
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kForgottenUs).refusal ==
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kForgottenUs).refusal ==
                    Reason::kExpired);
   }
 
@@ -91,14 +101,15 @@
   // it.
   void BoundsRefusedCalls() {
     SendGuard guard(kOwner);
-    guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
+    guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
     for (std::uint64_t call = 2; call < 40000; ++call) {
-      guard.NoteRefused(KeyOf(call), kExpiryUs, kNowUs);
+      guard.RecordRefused(KeyOf(call), kExpiryUs, kNowUs);
     }
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(39999), kOwner, kExpiryUs, kNowUs).refusal ==
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(39999), kOwner, kExpiryUs, kNowUs).refusal ==
                    Reason::kCancelled);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(2), kOwner, kExpiryUs, kNowUs).refusal == Reason::kNone);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kNowUs).ignore);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(2), kOwner, kExpiryUs, kNowUs).refusal ==
+                   Reason::kNone);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kNowUs).ignore);
   }
 };
 
--- a/tests/auto/policy/tst_serverpacer.cpp
+++ b/tests/auto/policy/tst_serverpacer.cpp
@@ -79,10 +79,10 @@
     ServerPacer pacer;
     const PriorityId priority("normal");
     for (int call = 0; call < 200; ++call) {
-      pacer.NoteCompleted(priority, milliseconds(100), ServerCondition{1.0, 3, 9});
-      pacer.NoteCompleted(priority, milliseconds(100), ServerCondition{1.0, 9, 9});
+      pacer.RecordCompletion(priority, milliseconds(100), ServerCondition{1.0, 3, 9});
+      pacer.RecordCompletion(priority, milliseconds(100), ServerCondition{1.0, 9, 9});
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{9}, pacer.MostInFlight(9));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{9}, pacer.MaxInFlight(9));
   }
 
   // Guards against a server that is slow for good and gets no work.
@@ -90,10 +90,10 @@
     ServerPacer pacer;
     const PriorityId priority("normal");
     const TimePoint start{seconds(100)};
-    pacer.NoteCompleted(priority, milliseconds(200), ServerCondition{1.0, 1, 9});
-    pacer.NoteSlowness(5.0, start);
+    pacer.RecordCompletion(priority, milliseconds(200), ServerCondition{1.0, 1, 9});
+    pacer.RecordSlowness(5.0, start);
     CPPUNIT_ASSERT(pacer.IsHeld(priority, start));
-    pacer.NoteSlowness(5.0, start + milliseconds(300));
+    pacer.RecordSlowness(5.0, start + milliseconds(300));
     CPPUNIT_ASSERT(pacer.IsHeld(priority, start + milliseconds(300)));
     CPPUNIT_ASSERT(!pacer.IsHeld(priority, start + milliseconds(400)));
   }
@@ -102,8 +102,8 @@
     ServerPacer pacer;
     const PriorityId priority("short");
     const TimePoint start{seconds(100)};
-    pacer.NoteCompleted(priority, milliseconds(20), ServerCondition{1.0, 1, 9});
-    pacer.NoteSlowness(4.0, start);
+    pacer.RecordCompletion(priority, milliseconds(20), ServerCondition{1.0, 1, 9});
+    pacer.RecordSlowness(4.0, start);
     CPPUNIT_ASSERT(!pacer.IsHeld(priority, start));
   }
 };
