--- a/src/libs/policy/adaptivestrategy.cpp
+++ b/src/libs/policy/adaptivestrategy.cpp
@@ -8,15 +8,18 @@
 
 using State = ServerScore::State;
 
-// A call that must not run twice is used as a trial only when no idempotent call came in this time.
+// A non-idempotent call is used as a trial only if a trial has been due for this long without an
+// idempotent call.
 constexpr std::chrono::seconds kMaxTrialWait{2};
 
-// How strictly a draw keeps to standing and slow start; each is tried when the one before found
-// nothing.
+// Which servers are candidates for sampling, strictest mode first: only servers in the normal
+// state, thinned out by slow start; all servers in the normal state; all open servers. Each mode is
+// used only if the one before yields no server.
 enum class SamplingMode { kRamped, kNormal, kAny };
 constexpr std::array kSamplingModes{SamplingMode::kRamped, SamplingMode::kNormal,
                                     SamplingMode::kAny};
 
+// A sampled server and its expected delay.
 struct Sample {
   std::optional<std::size_t> index;
   Duration delay{};
@@ -33,8 +36,7 @@
   return share >= 1.0 || random.Unit() < share;
 }
 
-// Two servers of a tier, each pair equally likely, and of them the one with the lower expected
-// delay.
+// Samples two servers of the tier uniformly and returns the one with the lower expected delay.
 Sample SampleTier(const RoutingPool& pool, std::size_t tier, SamplingMode mode,
                   RandomSource& random, TimePoint now) {
   std::array<std::size_t, 2> pair{};
@@ -57,6 +59,7 @@
   return other_wins ? Sample{pair[1], other} : best;
 }
 
+// Returns a server that is due for a trial for which this call may be used, nearest tier first.
 std::optional<std::size_t> FindTrial(const RoutingPool& pool, TimePoint now) {
   for (std::size_t tier = 0; tier < pool.TierCount(); ++tier) {
     for (const std::size_t index : pool.Tier(tier)) {
--- a/src/libs/policy/adaptivestrategy.h
+++ b/src/libs/policy/adaptivestrategy.h
@@ -8,9 +8,9 @@
 
 namespace damaskhollow {
 
-// The product's strategy: of two random servers of the nearest tier the one with the lower expected
-// delay, or that of a further tier if it is lower still. Suspended servers come back by a trial,
-// and servers in slow start are drawn less often.
+// Default strategy. Compares two random servers of each tier by expected delay; a more distant tier
+// is selected only if its delay is lower. Suspended servers return to service through a trial call,
+// and servers in slow start are sampled less often.
 class AdaptiveStrategy : public RoutingStrategy {
  public:
   std::optional<std::size_t> Pick(const RoutingPool& pool, RandomSource& random,
--- a/src/libs/policy/admissionqueue.cpp
+++ b/src/libs/policy/admissionqueue.cpp
@@ -11,27 +11,31 @@
 constexpr int kServiceTimeSmoothing = 8;
 // Shares of slot time are measured over this window, with exponential decay.
 constexpr double kShareWindowUs = 1e6;
-// Stands for the service time until a call has completed.
+// Assumed service time until a call has completed.
 constexpr Duration kUnknownServiceTime{1000};
-// Without a completion for this long, a priority's service time is doubted: if it is too long for
-// any call to be taken, none would come to correct it.
+// A priority's service time counts as stale if no call of the priority has completed for this long.
+// Otherwise a value too long for any call to be admitted would never be corrected.
 constexpr std::chrono::milliseconds kServiceTimeMaxAge{1000};
-// One decrease per congestion event; the factor is that of common TCP congestion controls.
+// The limit is decreased at most once per congestion event, by a factor common in TCP congestion
+// control.
 constexpr double kDecreaseFactor = 0.7;
 
-// Keeps the expected wait finite when other priorities take everything.
+// Minimum assumed share, which keeps the expected wait finite when other priorities use all slots.
 constexpr double kMinShare = 0.01;
 
-// A call that has less than this part of its usual time left is not worth starting.
+// A call is not started if less than this fraction of its expected run time is left before its
+// deadline.
 constexpr double kMinStartFraction = 0.7;
 
 constexpr std::size_t kNoLane = std::numeric_limits<std::size_t>::max();
 
+// Time that must be left before the deadline to start a call with this expected run time.
 Duration MinTimeToStart(Duration run) {
   return Duration(static_cast<Duration::rep>(static_cast<double>(run.count()) * kMinStartFraction));
 }
 
-// The room that a lane's guarantee still reserves in a cap of which the lane uses `used`.
+// Returns the part of a limit that a lane's guaranteed share still reserves when the lane uses
+// `used`.
 std::size_t UnusedReserve(double guaranteed_share, std::size_t cap, std::size_t used) {
   const auto reserve = static_cast<std::size_t>(guaranteed_share * static_cast<double>(cap));
   return reserve > used ? reserve - used : 0;
@@ -93,7 +97,7 @@
 }
 
 double AdmissionQueue::ExpectedShare(std::size_t lane) const {
-  // More urgent work is expected to come as it did in the last window.
+  // Assumes that more urgent work arrives at the same rate as in the last window.
   const double capacity = static_cast<double>(Limit()) * kShareWindowUs;
   double share = 1.0 - GuaranteedShareOfLessUrgent(lane);
   for (std::size_t index = 0; index < lane; ++index) share -= m_lanes[index].served / capacity;
@@ -117,7 +121,7 @@
   const double by_order = work / (limit * available);
   const double by_share = own_work / (limit * ExpectedShare(lane));
   double wait = std::max(by_order, by_share);
-  // More urgent work is not ahead of what a guarantee covers.
+  // More urgent work does not delay calls within the guaranteed share.
   const double guaranteed = own.priority.guaranteed_share;
   if (guaranteed > 0.0) wait = std::min(wait, own_work / (limit * guaranteed));
   return Duration(static_cast<Duration::rep>(wait));
@@ -139,8 +143,8 @@
   return now + ExpectedWait(lane) + ServiceTimeOf(m_lanes[lane]) <= call.target;
 }
 
-// Moves the calls that waited too long to be answered in time behind the others, and gives up those
-// that would be cut off while they run.
+// Moves calls that can no longer meet their target behind the others, and expires late calls that
+// would reach their deadline while they run.
 void AdmissionQueue::DemoteLateCalls(TimePoint now) {
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
     Lane& lane = m_lanes[index];
@@ -168,7 +172,7 @@
   if (wait.count() == 0) return true;
   const Duration bound = m_lanes[lane].priority.queue_bound;
   if (bound.count() > 0 && wait > bound) return false;
-  // A call that waits also needs its time on the backend server before its deadline.
+  // A queued call also needs its run time on the backend server before its deadline.
   return wait + ServiceTimeOf(m_lanes[lane]) <= call.deadline - now;
 }
 
@@ -192,10 +196,11 @@
     admission.refusal = Reason::kQueueFullBytes;
     return false;
   }
-  std::vector<std::pair<std::size_t, AdmissionCall>> victims;  // With their lanes, newest first.
+  std::vector<std::pair<std::size_t, AdmissionCall>> victims;  // With lane index, newest first.
   Reason reason = CheckRoom(lane, bytes);
   for (std::size_t index = m_lanes.size(); reason != Reason::kNone && index-- > lane + 1;) {
-    // What a guarantee reserves is not taken away, or a flood of urgent work would void it.
+    // Calls within a guaranteed share are not evicted; otherwise a flood of urgent work would make
+    // the guarantee ineffective.
     Lane& victim = m_lanes[index];
     while (reason != Reason::kNone && victim.Count() > 0) {
       const AdmissionCall& newest = victim.late.empty() ? victim.queue.back() : victim.late.back();
@@ -214,7 +219,7 @@
     for (const auto& [index, call] : victims) admission.evicted.push_back(call.id);
     return true;
   }
-  // Evicting did not help, so it is undone, oldest first.
+  // Eviction did not free enough room, so it is undone, oldest call first.
   for (auto victim = victims.rbegin(); victim != victims.rend(); ++victim) {
     Enqueue(victim->second, victim->first, false);
   }
@@ -266,8 +271,8 @@
 }
 
 double AdmissionQueue::ProjectedSlotTime(const Lane& lane) const {
-  // Calls that run are counted with the time that they are expected to take. Without it, all slots
-  // that are free at one instant would go to the same priority.
+  // Running calls count with their expected run time. Without it, all slots that become free at one
+  // instant would go to the same priority.
   const Duration expected = std::max(ServiceTimeOf(lane), kUnknownServiceTime);
   return lane.served + static_cast<double>(lane.running) * static_cast<double>(expected.count());
 }
@@ -290,7 +295,8 @@
   return most_underserved != kNoLane ? most_underserved : NextLaneByUrgency(is_held);
 }
 
-// The most urgent group that has work; in it, calls that can be answered in time go first.
+// Selects the most urgent group that has queued calls; within it, calls that can meet their target
+// come first.
 std::size_t AdmissionQueue::NextLaneByUrgency(const IsHeld& is_held) const {
   std::size_t first_late = kNoLane;
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
@@ -399,7 +405,7 @@
 void AdmissionQueue::AdaptLimit(SlotResult result, TimePoint dispatched, TimePoint now) {
   const auto slots = static_cast<double>(m_limits.slots);
   if (result == SlotResult::kShed) {
-    // Calls that were sent before the last decrease do not tell whether it was enough.
+    // Calls dispatched before the last decrease do not show whether it was sufficient.
     if (dispatched < m_last_decrease) return;
     m_limit = std::max(1.0, m_limit * kDecreaseFactor);
     m_last_decrease = now;
--- a/src/libs/policy/admissionqueue.h
+++ b/src/libs/policy/admissionqueue.h
@@ -19,33 +19,33 @@
 
 namespace damaskhollow {
 
-// Names a call within its owner.
+// Identifies a call within its owner.
 using OwnedCallId = NumberedId<struct OwnedCallTag>;
 
-// A call that asks for a slot.
+// A call that requests a slot on the backend server.
 struct AdmissionCall {
   OwnedCallId id;
   std::size_t priority_index = 0;  // 0 is the most urgent.
   TimePoint deadline{};
   std::size_t bytes = 0;  // Memory that the call holds while it is queued.
-  // Until when an answer is in time; no bound by default.
+  // Latest time at which a response meets the call's target; no bound by default.
   TimePoint target = TimePoint::max();
 };
 
-// How a dispatched call ended, as far as admission is concerned.
+// Result of a dispatched call as far as admission control is concerned.
 enum class SlotResult {
   kCompleted,
-  kShed,    // The backend server refused it for lack of capacity.
-  kFailed,  // It broke off; its time says nothing about the server's speed.
+  kShed,    // The backend server refused the call for lack of capacity.
+  kFailed,  // Interrupted; its duration is no measure of the server's speed.
 };
 
-// The load of a backend server as its owner sees it.
+// Load of a backend server as measured by its owner.
 struct AdmissionLoad {
   std::size_t in_flight = 0;
   std::size_t queued = 0;
   std::size_t limit = 0;
-  Duration queue_delay{};   // Expected wait of a most urgent call.
-  Duration service_time{};  // Smoothed time of a call on the backend server.
+  Duration queue_delay{};   // Expected wait of a call of the most urgent priority.
+  Duration service_time{};  // Smoothed run time of a call on the backend server.
 };
 
 struct AdmissionLimits {
@@ -54,70 +54,74 @@
   std::size_t queue_count = 2048;
 };
 
-// What became of an offered call, and the queued calls that gave way to it. Those were not run.
+// Result of offering a call: why it is refused, if it is, and the queued calls of less urgent
+// priorities that were evicted to make room for it. Evicted calls have not run.
 struct Admission {
   Reason refusal = Reason::kNone;
   std::vector<OwnedCallId> evicted;
   Reason eviction_reason = Reason::kNone;
 };
 
-// Decides which calls run on a backend server and which wait or are refused. The cost of each
-// member grows with the number of priorities and the logarithm of the number of queued calls.
+// Admission control for one backend server: decides which calls run, wait or are refused. The cost
+// of each member grows with the number of priorities and the logarithm of the number of queued
+// calls. Used by the owner of the server. Not thread-safe.
 class AdmissionQueue {
  public:
   AdmissionQueue(const AdmissionLimits& limits, std::span<const Priority> priorities);
 
-  // Takes a call into the queue, or returns why it is refused. A call that was taken is named by
-  // PopDispatchable, PopExpired or a later Admission::evicted, unless it is cancelled.
+  // Queues a call, or returns why it is refused. The id of a queued call is later returned by
+  // PopDispatchable, PopExpired, PopUnservable or in Admission::evicted of another call, unless the
+  // call is cancelled.
   Admission Offer(const AdmissionCall& call, TimePoint now);
 
-  // Whether the calls of a priority wait although there are free slots.
+  // Whether calls of a priority are held back although there are free slots.
   using IsHeld = std::function<bool(const PriorityId& priority)>;
 
-  // Names the calls that are to be dispatched now; each occupies a slot until OnCallFinished. Never
-  // names a call whose deadline has passed. `is_held` may be empty.
+  // Removes and returns the calls to dispatch now; each occupies a slot until OnCallFinished. Never
+  // returns a call whose deadline has passed. `is_held` may be empty.
   std::vector<OwnedCallId> PopDispatchable(TimePoint now, const IsHeld& is_held = {});
 
-  // Removes and names the queued calls whose deadline has passed.
+  // Removes and returns the queued calls whose deadline has passed, and those whose remaining time
+  // has become too short to start them.
   std::vector<OwnedCallId> PopExpired(TimePoint now);
 
-  // Removes and names the late calls that will not get a slot while there is time to run them, as
-  // far as can be told from what is queued before them. They have not expired yet.
+  // Removes and returns the late calls that are not expected to get a slot while there is still
+  // time to run them, judging by the work queued ahead of them. Their deadline has not passed yet.
   std::vector<OwnedCallId> PopUnservable(TimePoint now);
 
-  // Removes a queued call; false if it is not queued.
+  // Removes a queued call. Returns false if it is not queued.
   bool Cancel(OwnedCallId id);
 
-  // Frees the slot of a dispatched call.
+  // Frees the slot of a dispatched call and updates the service time and the concurrency limit.
   void OnCallFinished(OwnedCallId id, SlotResult result, TimePoint now);
 
-  // Replaces slots and priorities; calls in the queue stay, under the priority of the same id or,
-  // if that is gone, under the least urgent one.
+  // Replaces the limits and priorities. Queued calls stay, under the priority with the same id or,
+  // if it has been removed, under the least urgent one.
   void Reconfigure(const AdmissionLimits& limits, std::span<const Priority> priorities);
 
   AdmissionLoad Load() const;
 
   std::size_t Slots() const { return m_limits.slots; }
 
-  // Keeps fewer calls in flight than the slots allow, from now on.
+  // Sets an upper bound on the calls in flight, in addition to the number of slots; at least 1.
   void SetMaxInFlight(std::size_t most) { m_max_in_flight = std::max<std::size_t>(most, 1); }
 
-  // How long a call of this priority would wait for a slot.
+  // Returns how long a new call of this priority is expected to wait for a slot.
   Duration ExpectedWaitOfPriority(std::size_t priority_index) const {
     return ExpectedWait(std::min(priority_index, m_lanes.size() - 1));
   }
 
  private:
-  // The work of one priority.
+  // Queue and statistics of one priority.
   struct Lane {
     Priority priority;
-    std::list<AdmissionCall> queue;  // Those that can be answered in time, oldest first.
-    std::list<AdmissionCall> late;   // The others, oldest first.
+    std::list<AdmissionCall> queue;  // Calls that can still meet their target, oldest first.
+    std::list<AdmissionCall> late;   // Calls that will miss their target, oldest first.
     std::size_t queued_bytes = 0;
     std::size_t running = 0;
-    double served = 0.0;       // Slot time in the decayed window, in microseconds.
+    double served = 0.0;       // Slot time used in the decaying window, in microseconds.
     Duration service_time{0};  // Smoothed; 0 until a call has completed.
-    TimePoint completed_at{};  // When the last one did.
+    TimePoint completed_at{};  // When a call last completed.
 
     std::size_t Count() const { return queue.size() + late.size(); }
   };
@@ -137,35 +141,47 @@
   bool HasFreeSlot() const { return m_running.size() < Limit(); }
   std::size_t QueuedCount() const { return m_queued.size(); }
   Duration ServiceTimeOf(const Lane& lane) const;
-  // The guarantees of less urgent work that waits.
+  // Sum of the guaranteed shares of less urgent priorities that have queued calls.
   double GuaranteedShareOfLessUrgent(std::size_t lane) const;
   double ExpectedShare(std::size_t lane) const;
   Duration ExpectedWait(std::size_t lane) const;
   Duration ExpectedLateWait(std::size_t lane) const;
-  // The slot time of the calls that go before the late ones of a lane, in microseconds.
+  // Slot time of the calls that are dispatched before the late calls of a lane, in microseconds.
   double WorkAheadOfLate(std::size_t lane) const;
-  // Whether the call would be answered in time; late calls wait behind those of their group that
-  // would.
+  // Whether the call is expected to meet its target. Late calls wait behind the calls of their
+  // group that are expected to meet theirs.
   bool IsInTime(const AdmissionCall& call, std::size_t lane, TimePoint now) const;
   void DemoteLateCalls(TimePoint now);
+  // Whether a call with a target is expected to meet it or at least its deadline, and a call
+  // without one to stay within its deadline and the queue bound of its priority.
   bool MeetsTimeLimits(const AdmissionCall& call, std::size_t lane, TimePoint now) const;
+  // Returns kNone if the queue has room for a call, or the limit that it would exceed. Room
+  // reserved by the guarantees of other priorities is not available.
   Reason CheckRoom(std::size_t lane, std::size_t bytes) const;
+  // Evicts the newest calls of less urgent priorities until the call fits. Evicts none and sets the
+  // refusal if that is not enough.
   bool MakeRoom(std::size_t lane, std::size_t bytes, Admission& admission);
+  // Slot time used by a lane, its running calls included, in microseconds.
   double ProjectedSlotTime(const Lane& lane) const;
+  // Selects the lane to dispatch from: the one furthest below its guaranteed share, or else by
+  // urgency. kNoLane if there is none.
   std::size_t NextLane(const IsHeld& is_held) const;
   std::size_t NextLaneByUrgency(const IsHeld& is_held) const;
   void Enqueue(const AdmissionCall& call, std::size_t lane, bool late);
   void Remove(OwnedCallId id);
   void CollectExpired(TimePoint now);
+  // Adds the slot time since the last call to the decaying window of each lane.
   void Accrue(TimePoint now);
   void UpdateServiceTime(Lane& lane, Duration time);
+  // Adjusts the limit of calls in flight: multiplicative decrease when the backend server sheds a
+  // call, additive increase when it completes calls at the limit.
   void AdaptLimit(SlotResult result, TimePoint dispatched, TimePoint now);
 
   AdmissionLimits m_limits;
   std::vector<Lane> m_lanes;  // By priority index; at least one.
   std::unordered_map<OwnedCallId, Queued> m_queued;
-  std::set<std::pair<TimePoint, OwnedCallId>> m_deadlines;  // Of queued calls.
-  std::vector<OwnedCallId> m_expired;                       // Removed, but not named yet.
+  std::set<std::pair<TimePoint, OwnedCallId>> m_deadlines;  // Deadlines of the queued calls.
+  std::vector<OwnedCallId> m_expired;                       // To be returned by PopExpired.
   std::unordered_map<OwnedCallId, Running> m_running;
   std::size_t m_queued_bytes = 0;
   Duration m_service_time{0};
--- a/src/libs/policy/attemptverdict.h
+++ b/src/libs/policy/attemptverdict.h
@@ -5,7 +5,7 @@
 
 namespace damaskhollow {
 
-// What an owner says of a call that it is asked about.
+// State of a call in the reply of an owner to a status query.
 enum class CallProgress {
   kNeverSeen,  // Not run; refused if it still arrives.
   kQueued,
@@ -14,7 +14,7 @@
   kCancelled,  // Not run, and it will not run.
 };
 
-// What an ingress concludes about one of its attempts.
+// Conclusion of an ingress about one of its attempts.
 enum class AttemptVerdict {
   kWait,
   kNotRun,
@@ -22,9 +22,9 @@
   kUnknownOwnerRestarted,
 };
 
-// The conclusion from a status result. `sent_to` is the owner's incarnation that the attempt was
-// stamped for, `answered_by` the one that answered. Only the former can prove that a call was not
-// run; a restarted owner has forgotten it.
+// Returns the conclusion from a status result. `sent_to` is the incarnation of the owner that the
+// attempt was addressed to, `answered_by` the one that answered. Only the former can prove that a
+// call was not run, as a restarted owner has no record of it.
 AttemptVerdict EvaluateStatus(Incarnation sent_to, Incarnation answered_by, CallProgress progress,
                               bool answer_follows);
 
--- a/src/libs/policy/callclassifier.cpp
+++ b/src/libs/policy/callclassifier.cpp
@@ -22,9 +22,11 @@
   return declaration.FindServiceByHost(call.host);
 }
 
-// The path of a request target, without its query.
+// Returns the path of a request target without its query.
 std::string_view PathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
+// Returns the requested priority if it is less urgent than the declared one, otherwise the declared
+// one.
 const Priority* EffectivePriority(const Declaration& declaration, const Rule& rule,
                                   std::string_view requested_id) {
   const Priority* declared = declaration.FindPriority(rule.priority);
@@ -38,7 +40,8 @@
 
 Classification Refuse(Reason reason) { return Classification{reason, {}}; }
 
-// What a call's headers say of its time left and depth; kNone or the reason why it is refused.
+// Reads the remaining time and the depth from the headers of a call. Returns kNone, or the reason
+// why the call is refused.
 Reason ReadLimits(const CallDescription& call, CallClass& call_class) {
   if (!call.deadline.empty()) {
     const std::optional<std::uint64_t> milliseconds = ParseUnsigned(call.deadline);
--- a/src/libs/policy/callclassifier.h
+++ b/src/libs/policy/callclassifier.h
@@ -13,10 +13,11 @@
 
 namespace damaskhollow {
 
-// Calls in a chain beyond this are taken for a loop. The deepest chain of the served systems is 28.
+// Maximum depth of a chain of calls; a deeper chain is treated as a loop. The deepest chain of the
+// served systems is 28.
 constexpr std::uint32_t kMaxDepth = 32;
 
-// The parts of a request that classification looks at. Empty header values mean that the header is
+// Parts of a request that classification uses. An empty header value means that the header is
 // absent.
 struct CallDescription {
   std::string_view method;
@@ -29,34 +30,34 @@
   std::string_view request_id;  // Damaskhollow-Request-Id
 };
 
-// How a call is to be treated.
+// Properties that determine how a call is handled.
 struct CallClass {
-  ServiceId service;  // Empty until a part of the route is chosen.
+  ServiceId service;  // Empty until a part of the route is selected.
   RouteId route;      // Empty if the call was classified by a rule of its service.
   PriorityId priority;
   std::size_t priority_index = 0;  // Position in Declaration::priorities, most urgent first.
   bool idempotent = false;
   bool may_cross_regions = false;
-  std::uint32_t depth = 0;   // Of this call; 0 for a call from outside.
-  Duration deadline{};       // Time left.
-  Duration target{};         // Aimed-at answer time.
+  std::uint32_t depth = 0;   // Depth of this call; 0 for a call from outside.
+  Duration deadline{};       // Remaining time.
+  Duration target{};         // Target response time.
   std::size_t attempts = 0;  // Backend servers that the call may reach; 0: the node's default.
   std::string request_id;
 };
 
-// A class, or the reason why the call is refused (kNone when it is not).
+// Classification of a call, or the reason why it is refused (kNone if it is not).
 struct Classification {
   Reason refusal = Reason::kNone;
   CallClass call_class;
   const Route* route = nullptr;  // In the declaration; null if a rule of a service decided.
 };
 
-// Classifies a call by the declaration's rules. A caller may lower its priority and shorten its
-// deadline, not the opposite.
+// Classifies a call by the rules or routes of the declaration. A caller can lower its priority and
+// shorten its deadline, but not raise or extend them.
 Classification ClassifyCall(const Declaration& declaration, const CallDescription& call);
 
-// The longest accepted body, in bytes, for a call that names this service or host; `fallback` when
-// neither is known.
+// Returns the maximum body size, in bytes, for a call with this service or host; `fallback` if the
+// declaration has neither a bound for callers nor such a service.
 std::size_t MaxBodyBytes(const Declaration& declaration, const CallDescription& call,
                          std::size_t fallback);
 
--- a/src/libs/policy/crashguard.cpp
+++ b/src/libs/policy/crashguard.cpp
@@ -13,18 +13,18 @@
 constexpr std::chrono::minutes kBanTime{5};
 constexpr std::chrono::minutes kSuspicionTime{5};
 constexpr std::size_t kMaxEntries = 1024;
-// More owners than the ban needs add nothing.
+// Reporters beyond the number needed for a ban make no difference.
 constexpr std::size_t kMaxReportersPerDigest = 4;
 
-// A peer may report the calls in flight of a few crashes at once, and then far fewer than would
-// fill the table within the time of a suspicion.
+// Rate limit per peer: the calls in flight of a few crashes at once, then far fewer than would fill
+// the table within the suspicion time.
 constexpr double kAllowanceDigests = 64.0;
 constexpr double kAllowancePerSecond = 1.0;
 
 // Reports against a digest that was answered here within this time are ignored: it was in flight by
-// chance, or the report is forged. This holds after a crash of the own server too, as a crashing
-// request that is retried at once can crash several servers beside the same popular request before
-// the first report arrives.
+// chance, or the report is forged. This also applies after a crash of the own server, because a
+// crashing request that is retried immediately can crash several servers beside the same popular
+// request before the first report arrives.
 constexpr std::chrono::seconds kRecentCompletion{10};
 
 std::uint64_t HashOf(std::string_view digest) { return StableHash("completion", digest); }
@@ -76,7 +76,8 @@
   for (const std::string& digest : digests) {
     if (!TryConsumeAllowance(owner, now)) return;
     const auto found = m_entries.find(digest);
-    // A ban ends by time only, as a false report would let the request crash servers again.
+    // A ban ends only by time, as a false completion report would let the request crash servers
+    // again.
     if (found == m_entries.end() || found->second.banned_until > now) continue;
     Erase(found);
   }
--- a/src/libs/policy/crashguard.h
+++ b/src/libs/policy/crashguard.h
@@ -18,35 +18,35 @@
 
 namespace damaskhollow {
 
-// Remembers which requests were in flight when backend servers crashed, and bans those that go on
-// crashing them. A request is named by its digest. Digests that are expected to be innocent are
-// cleared by any completion.
+// Records which requests were in flight when backend servers crashed, and bans those that
+// repeatedly cause crashes. A request is identified by its digest. A completion clears the
+// suspicion against a digest that was in flight by chance.
 class CrashGuard {
  public:
-  // Notes a crash of this node's own backend server with these digests in flight. Returns the
+  // Records a crash of the backend server of this node with these digests in flight. Returns the
   // digests that are banned because of it.
   std::vector<std::string> RecordCrash(std::span<const std::string> digests, TimePoint now);
 
-  // Notes that a peer reported a crash of its own server. Ignored beyond the peer's rate, and for
-  // digests that completed here a short time ago. Returns the digests that are banned because of
-  // it.
+  // Records a crash that a peer reported for its own server. Digests beyond the rate limit of the
+  // peer, and digests that completed here a short time ago, are ignored. Returns the digests that
+  // are banned because of it.
   std::vector<std::string> RecordReportedCrash(const BackendServerId& owner,
                                                std::span<const std::string> digests, TimePoint now);
 
-  // Notes that a request was answered here. Returns whether it was a suspect.
+  // Records that a request was answered here. Returns whether it was a suspect.
   bool RecordCompletion(std::string_view digest, TimePoint now);
 
-  // Notes that a peer reported a completion on its own server.
+  // Records a completion that a peer reported for its own server.
   void RecordReportedCompletion(const BackendServerId& owner, std::span<const std::string> digests,
                                 TimePoint now);
 
   // Whether the digest was in flight during a crash and has not completed since.
   bool IsSuspect(std::string_view digest, TimePoint now) const;
 
-  // Whether the digest is refused.
+  // Whether requests with the digest are refused.
   bool IsBanned(std::string_view digest, TimePoint now) const;
 
-  // Digests in the table.
+  // Number of digests in the table.
   std::size_t Size() const { return m_entries.size(); }
 
  private:
@@ -59,13 +59,13 @@
   };
   using Entries = std::map<std::string, Entry, std::less<>>;
 
-  // What a peer may still report.
+  // Token bucket for the digests that a peer may report.
   struct Allowance {
     double digests = 0.0;
     TimePoint refilled_at{};
   };
 
-  // A digest that completed, by its hash.
+  // A recently completed digest, identified by its hash.
   struct Completion {
     std::uint64_t hash = 0;
     TimePoint at{};
@@ -76,16 +76,21 @@
 
   Entry& FindOrAdd(const std::string& digest, TimePoint now);
   void Erase(Entries::iterator entry);
+  // Bans the entry if there are enough crashes and sufficient evidence. Returns whether it is newly
+  // banned.
   bool BanIfDue(Entry& entry, TimePoint now) const;
+  // Consumes one digest of the rate limit of a peer. Returns false if the limit is reached.
   bool TryConsumeAllowance(const BackendServerId& owner, TimePoint now);
   void CacheCompletionTime(std::string_view digest, TimePoint now);
   bool HasCompletedRecently(std::string_view digest, TimePoint now) const;
+  // Whether the entry is still under suspicion or banned.
   static bool IsCurrent(const Entry& entry, TimePoint now);
 
   Entries m_entries;
-  std::list<std::string> m_order;  // The entry whose last crash is the oldest comes first.
+  std::list<std::string> m_order;  // Digests by time of the last crash, oldest first.
   std::map<BackendServerId, Allowance> m_allowances;
-  // By hash. In a set the newest replaces the oldest, so the memory is bounded without a search.
+  // Set-associative cache by hash. In a set the newest entry replaces the oldest, so memory is
+  // bounded and no search over all entries is needed.
   std::array<CompletionSet, kCompletionSets> m_completions{};
 };
 
--- a/src/libs/policy/leastreportedstrategy.h
+++ b/src/libs/policy/leastreportedstrategy.h
@@ -8,8 +8,8 @@
 
 namespace damaskhollow {
 
-// Takes the open server whose last report showed the fewest calls a slot, however old the report
-// is. A baseline for comparison.
+// Selects the open server with the fewest calls per slot in its last report, regardless of the age
+// of the report. A baseline for comparison.
 class LeastReportedStrategy : public RoutingStrategy {
  public:
   std::optional<std::size_t> Pick(const RoutingPool& pool, RandomSource& random,
--- a/src/libs/policy/ownerclock.cpp
+++ b/src/libs/policy/ownerclock.cpp
@@ -6,7 +6,7 @@
                                 std::uint64_t clock_us, TimePoint received) {
   Reading& reading = m_readings[owner];
   const bool is_new = reading.incarnation != incarnation;
-  // A late message must not move a reading of the same incarnation back.
+  // A delayed message must not set back the reading of the same incarnation.
   if (!is_new && clock_us <= reading.clock_us) return false;
   reading = Reading{incarnation, clock_us, received};
   return is_new;
--- a/src/libs/policy/paidlinkbudget.cpp
+++ b/src/libs/policy/paidlinkbudget.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The bucket holds what the rate gives in this time, so a region whose nodes all have full buckets
-// exceeds its rate for at most this long.
+// The bucket holds the bytes of this time at the set rate, so a region whose nodes all have full
+// buckets exceeds its rate for at most this long.
 constexpr double kBurstSeconds = 1.0;
 
 }  // namespace
--- a/src/libs/policy/pausedetector.h
+++ b/src/libs/policy/pausedetector.h
@@ -7,21 +7,21 @@
 
 namespace damaskhollow {
 
-// A periodic tick that is later than this shows that the process did not run.
+// A periodic tick that is later than this shows that the process was not running.
 constexpr std::chrono::seconds kPauseThreshold{1};
 
-// Notices from the gaps between periodic ticks that the process was paused and woke late.
+// Detects from gaps between periodic ticks that the process was paused.
 class PauseDetector {
  public:
-  // Notes a tick. Returns true if the process was paused since the last one.
+  // Records a tick. Returns true if the process was paused since the previous one.
   bool RecordTick(TimePoint now) {
     const bool was_paused = IsOverdue(now);
     m_last_tick = now;
     return was_paused;
   }
 
-  // Whether the process woke from a pause and no tick has come yet. What was decided before the
-  // pause is not to be acted upon until then.
+  // Whether the process has resumed after a pause and no tick has been recorded yet. Decisions made
+  // before the pause must not be acted upon until then.
   bool IsOverdue(TimePoint now) const {
     return m_last_tick.has_value() && now - *m_last_tick > kPauseThreshold;
   }
--- a/src/libs/policy/randomstrategy.h
+++ b/src/libs/policy/randomstrategy.h
@@ -8,7 +8,7 @@
 
 namespace damaskhollow {
 
-// Takes any open server. A baseline for comparison.
+// Selects a random open server, each equally likely. A baseline for comparison.
 class RandomStrategy : public RoutingStrategy {
  public:
   std::optional<std::size_t> Pick(const RoutingPool& pool, RandomSource& random,
--- a/src/libs/policy/requesthome.cpp
+++ b/src/libs/policy/requesthome.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxTokenLength = 64;
-// Until the year 5138; keeps sums of times far from overflow.
+// Latest accepted creation time, in the year 5138; prevents overflow in sums of times.
 constexpr std::int64_t kMaxUnixMs = 99999999999999LL;
 
 bool IsTokenCharacter(char character) {
--- a/src/libs/policy/requestregistry.cpp
+++ b/src/libs/policy/requestregistry.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Ids are kept a little longer than they are accepted.
+// Ids are kept slightly longer than they are accepted.
 constexpr std::chrono::milliseconds kRetentionTime = kRequestIdAge + 2 * kClockAllowance;
 
 RequestDecision Refuse(Reason reason) {
@@ -41,8 +41,8 @@
 }
 
 void RequestRegistry::UpdateAgreement(Member& member, WallTime now) const {
-  // A server that is ahead may have an inventory that this node has not seen, and this node may
-  // have been taken out of it by a version that the server passed over.
+  // A server with a newer version may have an inventory that this node has not seen, and a version
+  // that the server skipped may have removed this node from it.
   const bool agrees = member.version >= m_inventory_version && member.version <= m_version;
   if (!agrees) member.agrees_since.reset();
   if (agrees && !member.agrees_since) member.agrees_since = now;
@@ -55,7 +55,7 @@
   if (found == m_members.end()) return;
   Member& member = found->second;
   if (member.incarnation != incarnation) {
-    // A restarted process may have started with an older configuration.
+    // A restarted process may have loaded an older configuration.
     member.incarnation = incarnation;
     member.version = 0;
     member.agrees_since.reset();
@@ -67,7 +67,7 @@
 Reason RequestRegistry::CheckTime(WallTime created, WallTime now) const {
   if (created > now + kClockAllowance) return Reason::kRequestIdInvalid;
   if (created < m_latest - kRequestIdAge) return Reason::kRequestIdExpired;
-  // What this process did not see may have run under its predecessor.
+  // Requests unknown to this process may have run in its previous incarnation.
   if (m_started >= created - kClockAllowance) return Reason::kHomeRestarted;
   return Reason::kNone;
 }
@@ -92,8 +92,8 @@
   const WallTime limit = key.created - kClockAllowance;
   std::vector<BackendServerId> servers;
   for (const auto& [id, member] : m_members) {
-    // A server that still acts on another inventory may take itself for the home, whatever its
-    // place in the present order.
+    // A server that still acts on another inventory may consider itself the home, whatever its
+    // position in the current order.
     const bool agrees = member.agrees_since && *member.agrees_since < limit;
     const bool is_higher = member.is_present && IsBefore(id, m_self, key.id);
     if (agrees && !is_higher) continue;
--- a/src/libs/policy/requestregistry.h
+++ b/src/libs/policy/requestregistry.h
@@ -19,12 +19,13 @@
 
 namespace damaskhollow {
 
-// How far the wall clocks of callers and nodes may differ.
+// Maximum difference between the wall clocks of callers and nodes.
 constexpr std::chrono::milliseconds kClockAllowance{2000};
-// How long a request id can be used after its creation.
+// How long a request id is accepted after its creation.
 constexpr std::chrono::minutes kRequestIdAge{10};
 
-// An answer as the home keeps it. The head is in a form that only the node knows.
+// A response stored by the home of a request for replay. The head is in a serialized form that is
+// opaque to the registry.
 struct StoredResponse {
   std::string head;
   std::string body;
@@ -33,19 +34,19 @@
 };
 
 struct RegistryLimits {
-  // About 250 bytes each, so 4 MB; enough for 27 requests with an id per second and home.
+  // About 250 bytes per entry, so 4 MB; sufficient for 27 requests with an id per second and home.
   std::size_t entries = 16384;
   std::size_t response_bytes = 8UL * 1024UL;
   std::size_t total_response_bytes = 1024UL * 1024UL;
 };
 
-// What a home does with a request that carries an id.
+// Decision of a home about a request with an id.
 struct RequestDecision {
   enum class Kind {
-    kAccept,        // It may run; its end must be reported.
-    kQueryServers,  // It may run once all of `ask` have given the id up.
-    kRefuse,        // For `reason`.
-    kReplay,        // With `answer`, which is valid until the next call of a non-const member.
+    kAccept,        // May run; its end must be reported.
+    kQueryServers,  // May run once all `servers_to_query` have released the id.
+    kRefuse,        // Refused for `reason`.
+    kReplay,        // Answered with `response`, valid until the next non-const call.
   };
 
   Kind kind = Kind::kRefuse;
@@ -54,45 +55,48 @@
   const StoredResponse* response = nullptr;
 };
 
-// A server's answer to another home that asks it to give a request id up.
+// Reply to another home that requests the release of a request id.
 struct ReleaseReply {
   bool released = false;
   Reason reason = Reason::kNone;  // Why it was not released.
 };
 
-// Remembers the requests with an id that ran at this node, and decides whether a request may run
-// here. docs/at-most-once.md gives the argument. Wall times are this node's own.
+// Records the requests with an id that ran at this node, and decides whether a request may run
+// here, so that each runs at most once; docs/at-most-once.md gives the argument. Wall times are
+// those of this node.
 class RequestRegistry {
  public:
   RequestRegistry(BackendServerId self, WallTime started, RegistryLimits limits = {});
 
-  // The present inventory of this node's service, and the configuration version that it is from.
-  // Servers that leave it are asked as well, until they are known to have left it themselves.
+  // Sets the inventory of this node's service and the configuration version that it comes from.
+  // Servers that leave the inventory are still queried until they are known to act on a version
+  // without them.
   void SetInventory(std::span<const BackendServerId> members, std::uint64_t version, WallTime now);
 
-  // Notes which configuration version another server has in force.
+  // Records which configuration version another server has in force.
   void RecordConfigurationVersion(const BackendServerId& server, Incarnation incarnation,
                                   std::uint64_t version, WallTime now);
 
-  // Decides about a request that arrives. After kAccept and kQueryServers the id counts as running
-  // here. `digest` is of the request: an id that comes back with another request is refused, as the
-  // answer to the first one is not the answer to the second.
+  // Decides about an arriving request. After kAccept and kQueryServers the id counts as running
+  // here. `digest` identifies the content of the request: an id that is reused for another request
+  // is refused, as the stored response belongs to the first one.
   RequestDecision RegisterArrival(std::string_view request_id, std::string_view digest,
                                   const AbsentSince& absent_since, WallTime now);
 
-  // The request was refused before it ran, so it may run here or elsewhere later.
+  // Records that the request was refused before it ran, so it may run here or elsewhere later.
   void RecordNotRun(std::string_view request_id);
 
-  // The request ran; its answer is kept if it is small enough.
+  // Records that the request ran. Its response is stored if it is small enough.
   void RecordResponse(std::string_view request_id, StoredResponse response);
 
-  // The request may have run and has no complete answer. Later sends get `reason`.
+  // Records that the request may have run and has no complete response. Repeated requests are
+  // refused with `reason`.
   void RecordUnknownOutcome(std::string_view request_id, Reason reason);
 
-  // Gives an id up to another home, unless it may have run here.
+  // Releases an id to another home, unless its request may have run here.
   ReleaseReply Release(std::string_view request_id, WallTime now);
 
-  // Forgets ids that would be refused as expired, and members that no longer matter.
+  // Removes ids that would be refused as expired, and members that no longer need to be queried.
   void Sweep(const AbsentSince& absent_since, WallTime now);
 
   std::size_t Count() const { return m_entries.size(); }
@@ -108,44 +112,50 @@
   };
 
   struct Entry {
-    std::string digest;  // Empty for an id that was released before a request came.
+    std::string digest;  // Empty for an id released before a request arrived.
     State state = State::kRunning;
-    Reason reason = Reason::kNone;  // Of kDone without an answer.
+    Reason reason = Reason::kNone;  // For kDone without a response.
     std::optional<StoredResponse> response;
   };
 
-  // A server that is in the inventory, or was while ids that still count were created.
+  // A server that is in the inventory, or was when ids that are still accepted were created.
   struct Member {
     bool is_present = false;
     Incarnation incarnation;
     std::uint64_t version = 0;
-    // Since when the server is known to act on the same inventory as this node.
+    // Time since which the server is known to act on the same inventory as this node.
     std::optional<WallTime> agrees_since;
   };
 
   using Entries = std::map<Key, Entry>;
 
+  // Updates whether the member acts on the same inventory as this node.
   void UpdateAgreement(Member& member, WallTime now) const;
+  // Returns why an id with this creation time cannot be accepted; kNone if it can.
   Reason CheckTime(WallTime created, WallTime now) const;
+  // Decides about a request whose id is already recorded.
   RequestDecision DecideKnown(const Entry& entry, std::string_view digest) const;
+  // Returns the servers that must release the id before the request may run here.
   std::vector<BackendServerId> ServersToQuery(const Key& key,
                                               const AbsentSince& absent_since) const;
   Entries::iterator Find(std::string_view request_id);
   void StoreResponse(Entries::iterator entry, StoredResponse response);
+  // Removes the oldest stored responses until at most `bytes` are left.
   void EvictResponsesAbove(std::size_t bytes);
   void SweepEntries();
 
   const BackendServerId m_self;
   const WallTime m_started;
   const RegistryLimits m_limits;
-  std::map<BackendServerId, Member> m_members;  // Without this node.
+  std::map<BackendServerId, Member> m_members;  // Excludes this node.
   bool m_is_member = false;
-  std::uint64_t m_inventory_version = 0;  // The version that brought the present inventory.
-  std::uint64_t m_version = 0;            // The version in force.
-  // The latest time seen. A wall clock that is set back must not make a forgotten id young again.
+  std::uint64_t m_inventory_version = 0;  // Version that introduced the current inventory.
+  std::uint64_t m_version = 0;            // Version in force.
+  // Latest time seen. If the wall clock is set back, an id that has been removed must not be
+  // accepted as new again.
   WallTime m_latest{};
-  Entries m_entries;                 // By creation time, so that the oldest are first.
-  std::deque<Key> m_response_order;  // Of kept answers, oldest first.
+  Entries m_entries;                 // Ordered by creation time, oldest first.
+  std::deque<Key> m_response_order;  // Ids of stored responses, oldest first.
   std::size_t m_response_bytes = 0;
 };
 
--- a/src/libs/policy/retrypolicy.cpp
+++ b/src/libs/policy/retrypolicy.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-// Tokens are saved up for this long, so that the calls in flight to a server that stops can all be
-// sent to others.
+// Tokens accumulate for this long, so that all calls in flight to a server that stops can be sent
+// to other servers.
 constexpr double kAccumulationSeconds = 10.0;
-// A service that has had too few calls to earn tokens gets them at this rate, so slowly that the
-// floors of all services of all nodes stay far below the share.
+// Rate at which a service with too few calls to earn tokens receives them. It is low enough for the
+// floors of all services of all nodes to stay far below the retry share.
 constexpr double kFloorTokensPerSecond = 0.1;
 
-// Long enough for slots to become free, short enough to leave time for the second try.
+// Range of the retry delay for callers: long enough for slots to become free, short enough to leave
+// time for a second attempt.
 constexpr std::chrono::milliseconds kMinRetryAfter{200};
 constexpr std::chrono::milliseconds kMaxRetryAfter{600};
 
@@ -93,14 +94,16 @@
                                 TimePoint now) {
   if (!InfoOf(failed.reason).try_another_server) return failed.reason;
   if (!failed.proved_not_run && !failed.idempotent) return failed.reason;
-  // An owner without its server loads nothing by refusing, and more calls do not make it worse.
+  // A refusal by an owner without a connection to its server causes no load, and more calls do not
+  // make it worse.
   const bool is_free = budgets.refusals_are_free || failed.reason == Reason::kBackendUnreachable;
   if (!failed.reached_server && is_free) {
     return failed.refusals < kMaxRefusals ? Reason::kNone : failed.reason;
   }
   if (failed.attempts + failed.refusals >= failed.max_attempts) return failed.reason;
   if (m_services[failed.service].budget.TryConsumeRetry(budgets, now)) return Reason::kNone;
-  // retry_budget says that the call was not run, which is not proved for the other outcomes.
+  // The reason retry_budget states that the call was not run, which is not certain for other
+  // outcomes.
   return failed.proved_not_run ? Reason::kRetryBudget : failed.reason;
 }
 
--- a/src/libs/policy/retrypolicy.h
+++ b/src/libs/policy/retrypolicy.h
@@ -14,17 +14,22 @@
 
 namespace damaskhollow {
 
-// Sends of one call at most, hedges included.
+// Maximum number of attempts of one call, hedges included.
 constexpr std::size_t kMaxAttempts = 3;
 
-// Sends that owners refuse cost the servers nothing, so they have a bound of their own.
+// Maximum number of attempts of one call that owners refuse. They cost the backend servers nothing,
+// so they have a separate limit.
 constexpr std::size_t kMaxRefusals = 8;
 
-// Tokens for the retries and hedges of one service. Each first attempt adds a share of a token; a
-// retry takes one, and a hedge takes one that must also be within the hedges' part.
+// Token bucket for the retries and hedges of one service. Each first attempt adds a fraction of a
+// token. A retry consumes one token; a hedge consumes one that must also be available in the part
+// reserved for hedges.
 class RetryBudget {
  public:
+  // Adds the tokens that a first attempt earns.
   void RecordFirstAttempt(const Budgets& budgets, TimePoint now);
+  // Consumes the tokens of a retry or a hedge. Returns false, and consumes none, if there are too
+  // few.
   bool TryConsumeRetry(const Budgets& budgets, TimePoint now);
   bool TryConsumeHedge(const Budgets& budgets, TimePoint now);
 
@@ -33,59 +38,60 @@
 
   double m_tokens = 0.0;
   double m_hedge_tokens = 0.0;
-  double m_recent_first_attempts =
-      0.0;  // First attempts, decayed over the time that tokens are saved up for.
+  double m_recent_first_attempts = 0.0;  // First attempts, decaying over kAccumulationSeconds.
   TimePoint m_refilled_at{};
   bool m_is_started = false;
 };
 
-// The last answer times of one service and their 95th percentile.
+// The latest response times of one service and their 95th percentile.
 class ResponseTimes {
  public:
   void Add(Duration time);
 
-  // Empty until enough answers have been seen.
+  // Empty until there are enough responses.
   std::optional<Duration> Percentile95() const { return m_percentile; }
 
  private:
   std::array<Duration, 128> m_times{};
-  std::size_t m_count = 0;  // Of all answers.
+  std::size_t m_count = 0;  // Total number of responses.
   std::optional<Duration> m_percentile;
 };
 
-// When a caller whose call was not run may come again. Spread out, so that the callers that are
-// refused at one moment do not return at one moment.
+// Returns the delay after which a caller whose call was not run may retry. It is random, so that
+// callers refused at the same moment do not return at the same moment.
 std::chrono::milliseconds RandomRetryAfter(RandomSource& random);
 
-// An attempt that ended without an answer.
+// An attempt that ended without a response.
 struct FailedAttempt {
   ServiceId service;
   Reason reason = Reason::kNone;
   bool proved_not_run = false;
   bool idempotent = false;
-  std::size_t attempts = 0;  // Sends of this call that reached or may have reached a server.
+  std::size_t attempts = 0;  // Attempts that reached or may have reached a server.
   std::size_t max_attempts = kMaxAttempts;
-  bool reached_server = true;  // Whether the last one did or may have.
-  std::size_t refusals = 0;    // Sends that owners refused before anything reached a server.
+  bool reached_server = true;  // Whether the last attempt did or may have.
+  std::size_t refusals = 0;    // Attempts that owners refused before they reached a server.
 };
 
-// Decides which calls are sent again and when a second copy is sent. Answers of backend servers,
-// those of 5xx included, never come here, so retries do not multiply along a chain of calls.
+// Decides which calls are retried and when a hedge is sent. Responses of backend servers, including
+// 5xx, are never passed to it, so retries do not multiply along a chain of calls.
 class RetryPolicy {
  public:
+  // Adds the retry tokens that a first attempt earns for the service.
   void RecordFirstAttempt(const ServiceId& service, const Budgets& budgets, TimePoint now);
 
-  // Notes the time from sending an attempt to the head of its answer.
+  // Records the time from sending an attempt to the head of its response.
   void RecordResponseTime(const ServiceId& service, Duration time);
 
-  // kNone if the call may be sent again, which takes a token; otherwise the reason to answer with.
+  // Returns kNone if the call may be retried, which consumes a token; otherwise the reason to
+  // answer with.
   Reason DecideRetry(const FailedAttempt& failed, const Budgets& budgets, TimePoint now);
 
-  // How long after an idempotent call its hedge is due; empty if the service has had too few
-  // answers.
+  // Returns how long after an idempotent call its hedge is due; empty if the service has had too
+  // few responses.
   std::optional<Duration> HedgeDelay(const ServiceId& service) const;
 
-  // Whether a hedge may be sent, which takes its tokens.
+  // Returns whether a hedge may be sent, and consumes its tokens if so.
   bool TryConsumeHedge(const ServiceId& service, const Budgets& budgets, TimePoint now);
 
  private:
--- a/src/libs/policy/roundrobinstrategy.h
+++ b/src/libs/policy/roundrobinstrategy.h
@@ -8,7 +8,7 @@
 
 namespace damaskhollow {
 
-// Takes the open servers in turn, whatever their load. A baseline for comparison.
+// Selects the open servers in turn, regardless of their load. A baseline for comparison.
 class RoundRobinStrategy : public RoutingStrategy {
  public:
   std::optional<std::size_t> Pick(const RoutingPool& pool, RandomSource& random,
--- a/src/libs/policy/router.cpp
+++ b/src/libs/policy/router.cpp
@@ -7,10 +7,12 @@
 
 namespace {
 
-// The links of a fresh ingress come up within this time; its servers are not fresh for that.
+// Load reports that arrive within this time after the start of an ingress come from its initial
+// connections. They do not show that a server has just started, so such a server gets no slow
+// start.
 constexpr std::chrono::seconds kInitialConnectTime{5};
 constexpr int kTypicalSmoothing = 64;
-// Head and framing of a call beside its body.
+// Estimated size of the head and framing of a call, in addition to its body.
 constexpr std::size_t kCallOverheadBytes = 512;
 constexpr std::size_t kNearTiers = 2;
 
@@ -34,7 +36,8 @@
   }
   for (const BackendServer& server : m_declaration->backend_servers) {
     ServerState& state = m_servers[server.id];
-    // A score belongs to one subset and keeps its tier, so a server that moved gets a new one.
+    // A score belongs to one subset and its tier is fixed, so a server whose service or tier
+    // changes gets a new score.
     const bool moved =
         state.score && (m_scores[*state.score].Tier() != TierOf(m_location, server) ||
                         previous_services[server.id] != server.service);
@@ -71,7 +74,7 @@
   }
   for (const std::vector<std::size_t>& tier : previous) {
     for (const std::size_t index : tier) {
-      // The place of a score that was dropped may have been taken by another server since.
+      // The index of a released score may have been reused for another server.
       const auto found = m_servers.find(m_scores[index].Id());
       if (found == m_servers.end() || found->second.service != service.id) continue;
       if (found->second.score == index && !subset.Contains(index)) ReleaseScore(found->second);
@@ -200,7 +203,7 @@
       if (share >= 1.0 || m_random.Unit() < share) open.push_back(index);
     }
   }
-  // A random part of a large subset, so that ingresses do not all ask the same owners.
+  // Queries a random sample of a large subset, so that ingresses do not all query the same owners.
   for (std::size_t index = 0; index < std::min(max_servers, open.size()); ++index) {
     std::swap(open[index], open[index + m_random.Below(open.size() - index)]);
   }
--- a/src/libs/policy/router.h
+++ b/src/libs/policy/router.h
@@ -22,71 +22,80 @@
 
 namespace damaskhollow {
 
-// The chosen server, or the reason why there is none.
+// Result of a routing decision: the selected server, or the reason why none could be selected.
 struct RoutingChoice {
   Reason refusal = Reason::kNone;
   BackendServerId server;
   bool crosses_regions = false;
-  Duration expected_delay{};  // That the choice was made by.
-  Duration report_age{};      // Of the server's last report.
+  Duration expected_delay{};  // Estimate that the decision is based on.
+  Duration report_age{};      // Age of the server's last load report.
 };
 
-// What an owner said of a call that it was asked about.
+// Reply of an owner to a load query: how long a call would take on its backend server.
 struct LoadEstimate {
   BackendServerId server;
-  Duration expected{};  // Wait and run there.
+  Duration expected{};  // Queue wait plus service time.
 };
 
-// Chooses backend servers for calls. Subsets are computed when the declaration or the membership
-// changes, so a choice looks only at the subset of its service. Not thread-safe.
+// Selects backend servers for calls. Subsets are computed when the declaration or the membership
+// changes, so a selection looks only at the subset of its service. Not thread-safe.
 class Router {
  public:
   // `strategy` is adaptive, round_robin, random or least_reported.
   Router(std::string_view strategy, NodeLocation location, std::uint64_t seed);
 
+  // Replaces the inventory and the budgets, and rebuilds all subsets.
   void SetDeclaration(std::shared_ptr<const Declaration> declaration, TimePoint now);
 
-  // Whether the server may get new work, by membership.
+  // Sets whether the membership state of the server allows new calls to it.
   void SetEligible(const BackendServerId& server, bool eligible, TimePoint now);
 
-  // Whether a message can be sent to the server's owner.
+  // Sets whether messages can be sent to the owner of the server.
   void SetReachable(const BackendServerId& server, bool reachable, TimePoint now);
 
+  // Stores a load report of the server's owner.
   void RecordLoad(const BackendServerId& server, const ReportedLoad& load, TimePoint now);
+  // Registers an attempt sent to the server; it counts as outstanding until RecordEnded.
   void RecordSent(const BackendServerId& server, CallId attempt, std::size_t priority_index,
                   TimePoint now);
+  // Removes an attempt from the outstanding ones and updates the health of the server by its
+  // result.
   void RecordEnded(const BackendServerId& server, CallId attempt, AttemptResult result,
                    TimePoint now);
 
-  // Notes bytes of a call on the link to other regions that no choice has counted, such as those of
-  // its answer.
+  // Charges bytes on the link to other regions that no selection has charged, such as those of a
+  // response, to the budget.
   void RecordPaidLinkBytes(std::size_t bytes, TimePoint now);
 
+  // Selects a server from load reports already received. Charges the request to the budget of the
+  // paid link if the selected server is in another region.
   RoutingChoice Choose(const RoutingRequest& request, TimePoint now);
 
-  // The servers of the near tiers whose owners are worth asking for their load before the choice,
-  // at most `most`. Empty if the choice is made without: no server is open, or one is due a trial.
+  // Returns up to `max_servers` servers in this region whose owners should be queried for their
+  // load before the selection. Empty if a query would not help: no server is open, or a server is
+  // due for a trial call.
   std::vector<BackendServerId> ServersToQuery(const RoutingRequest& request,
                                               std::size_t max_servers, TimePoint now);
 
-  // Chooses among servers whose owners have just said how long the call would take there. Leaves
-  // the region only if none of them can answer within the time that the call aims at.
+  // Selects the server with the lowest estimate in `estimates`, which the owners have just
+  // reported. Leaves the region only if no estimate is within `target_left` of the request.
   RoutingChoice ChooseAmong(const RoutingRequest& request, std::span<const LoadEstimate> estimates,
                             TimePoint now);
 
-  // The servers of a service that this node uses, nearest tier first.
+  // Returns the servers of the service in the subset of this node, nearest tier first.
   std::vector<BackendServerId> SubsetOf(const ServiceId& service) const;
 
  private:
-  // As Choose, without counting the bytes of a choice that crosses the paid link.
+  // Like Choose, but does not charge the budget of the paid link.
   RoutingChoice SelectServer(const RoutingRequest& request, TimePoint now);
   void ChargePaidLink(const RoutingRequest& request, const RoutingChoice& choice, TimePoint now);
 
-  // One per inventory entry, so that a server that enters a subset is known.
+  // State of one inventory entry. It is kept for servers outside the subset too, so that their
+  // state is available when they enter it.
   struct ServerState {
     bool eligible = true;
     bool reachable = false;
-    std::optional<std::size_t> score;  // Set while it is in a subset.
+    std::optional<std::size_t> score;  // Index in m_scores; set while the server is in a subset.
     ServiceId service;                 // Empty if it is not in the inventory.
   };
 
@@ -94,6 +103,7 @@
   std::size_t AddScore(const BackendServer& server, ServerState& state, TimePoint now);
   void ReleaseScore(ServerState& state);
   ServerScore* FindScore(const BackendServerId& server);
+  // Whether one more server can be suspended: at most half of a subset may be ejected.
   bool CanSuspend(const ServiceSubset& subset) const;
   bool HasOpenRemoteServer(const RoutingPool& pool) const;
 
@@ -106,7 +116,7 @@
   std::vector<ServerScore> m_scores;
   std::vector<std::size_t> m_free_scores;
   PaidLinkBudget m_paid_link;
-  std::optional<TimePoint> m_started;  // When the first declaration came.
+  std::optional<TimePoint> m_started;  // When the first declaration arrived.
 };
 
 }  // namespace damaskhollow
--- a/src/libs/policy/routingpool.h
+++ b/src/libs/policy/routingpool.h
@@ -12,31 +12,31 @@
 
 namespace damaskhollow {
 
-// What routing needs to know of a call.
+// Properties of a call that routing uses.
 struct RoutingRequest {
   ServiceId service;
   bool idempotent = false;
   bool may_cross_regions = false;
   std::size_t bytes = 0;
-  std::span<const BackendServerId> excluded;  // Servers that this call has been to.
+  std::span<const BackendServerId> excluded;  // Servers already tried for this call.
   std::size_t priority_index = 0;             // 0 is the most urgent.
-  Duration target_left{};                     // Until the time that the call aims at is over.
+  Duration target_left{};                     // Time left to meet the target of the call.
 };
 
-// The servers of one service that this node uses.
+// Servers of one service that this node uses.
 struct ServiceSubset {
   std::array<std::vector<std::size_t>, kTierCount> tiers;  // Indices of scores.
-  Duration typical_service_time{};                         // Smoothed over all answers.
+  Duration typical_service_time{};                         // Smoothed over all responses.
 
   std::size_t Size() const;
   bool Contains(std::size_t index) const;
 };
 
-// The servers among which a strategy chooses for one call. It refers to its parts, so it lives as
-// long as the choice takes.
+// Servers from which a strategy selects for one call. Holds references to its constructor
+// arguments, so it must not outlive the selection.
 class RoutingPool {
  public:
-  // `tier_count` is below kTierCount if the call may not leave the region.
+  // `tier_count` is below kTierCount if the call must not leave the region.
   RoutingPool(std::vector<ServerScore>& scores, const ServiceSubset& subset,
               const RoutingRequest& request, std::size_t tier_count)
       : m_scores(scores), m_subset(subset), m_request(request), m_tier_count(tier_count) {}
@@ -47,7 +47,8 @@
   const RoutingRequest& Request() const { return m_request; }
   Duration TypicalServiceTime() const { return m_subset.typical_service_time; }
 
-  // Whether a message can be sent to the server, it does not drain, and the call was not there yet.
+  // Whether a message can be sent to the server, it is not draining, and the call has not been sent
+  // to it before.
   bool IsOpen(std::size_t index) const;
 
  private:
--- a/src/libs/policy/routingstrategy.h
+++ b/src/libs/policy/routingstrategy.h
@@ -12,18 +12,18 @@
 
 namespace damaskhollow {
 
-// Chooses one server of a pool.
+// Interface of the algorithms that select one server from a pool. Called by Router.
 class RoutingStrategy {
  public:
   virtual ~RoutingStrategy() = default;
 
-  // The index of the chosen score; empty if no server of the pool is open.
+  // Returns the index of the selected score; empty if no server in the pool is open.
   virtual std::optional<std::size_t> Pick(const RoutingPool& pool, RandomSource& random,
                                           TimePoint now) = 0;
 };
 
-// The strategy of a setting's value: adaptive, round_robin, random or least_reported. Settings are
-// checked before, so any other name means adaptive.
+// Creates the strategy for the value of a setting: adaptive, round_robin, random or least_reported.
+// Settings are validated earlier, so any other name gives the adaptive strategy.
 std::unique_ptr<RoutingStrategy> MakeRoutingStrategy(std::string_view name);
 
 }  // namespace damaskhollow
--- a/src/libs/policy/runestimate.cpp
+++ b/src/libs/policy/runestimate.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr double kSmoothing = 1.0 / 16.0;
-// Some backend servers slow down when more than this part of their slots is taken (page of the
-// platform). Until calls have shown how much, the factor of both served systems is assumed.
+// Some backend servers slow down when more than this share of their slots is in use, as documented
+// by the platform. Until calls have shown by how much, the factor of both served systems is
+// assumed.
 constexpr double kNearlyFullShare = 0.8;
 constexpr double kAssumedFactor = 1.7;
 constexpr double kFactorSmoothing = 1.0 / 32.0;
@@ -16,6 +17,7 @@
 constexpr double kMaxFactor = 4.0;
 constexpr double kMinSlowness = 0.1;
 
+// Number of calls that a server with this many slots runs without slowing down.
 std::size_t UncongestedSlots(std::size_t slots) {
   return std::max<std::size_t>(
       static_cast<std::size_t>(kNearlyFullShare * static_cast<double>(slots)), 1);
@@ -55,7 +57,7 @@
 
 std::size_t RunEstimate::BestInFlight(std::size_t slots) const {
   const std::size_t uncongested = UncongestedSlots(slots);
-  // All slots at the slower pace against fewer at the usual one.
+  // Compares all slots at the slower speed with fewer slots at the usual one.
   const double gain = static_cast<double>(slots) / static_cast<double>(uncongested);
   return m_nearly_full_factor > gain ? uncongested : slots;
 }
--- a/src/libs/policy/sendguard.cpp
+++ b/src/libs/policy/sendguard.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kMaxRefused = 16384;
-// The longest deadline that classification lets through. A peer with a faulty clock cannot have
-// tombstones kept for longer.
+// Longest deadline that classification accepts. It bounds how long a peer with a faulty clock can
+// make an owner keep tombstones.
 constexpr std::uint64_t kMaxTombstoneExpiryUs = 86400000000ULL;
 
 }  // namespace
@@ -17,7 +17,7 @@
                                      std::uint64_t expires_at_us, std::uint64_t now_us) const {
   if (owner != m_self) return {Reason::kWrongIncarnation, false};
   const auto ended = m_ended.find(key);
-  // An answer to a second delivery could overtake the first one's and contradict it.
+  // The response to a second delivery could overtake and contradict the first one's.
   if (ended != m_ended.end() && ended->second.state == InactiveCallState::kMayHaveRun) {
     return {Reason::kNone, true};
   }
@@ -55,7 +55,8 @@
   const auto ended = m_ended.find(key);
   if (ended != m_ended.end()) return ended->second.state;
   if (m_refused.contains(key)) return InactiveCallState::kNotRun;
-  // Past this time the call's tombstone may have been swept, so its absence proves nothing.
+  // After this time the tombstone of the call may have been removed, so its absence does not prove
+  // that the call did not run.
   if (expires_at_us + kTombstoneRetentionUs <= now_us) return InactiveCallState::kMayHaveRun;
   AddTombstone(key, expires_at_us, now_us, InactiveCallState::kNotRun);
   return InactiveCallState::kNeverSeen;
--- a/src/libs/policy/sendguard.h
+++ b/src/libs/policy/sendguard.h
@@ -12,7 +12,8 @@
 
 namespace damaskhollow {
 
-// Names a call, that is one sending of a request to one owner, among all ingresses.
+// Identifies a call, that is, one transmission of a request to one owner, uniquely across all
+// ingresses.
 struct CallKey {
   BackendServerId ingress;
   Incarnation incarnation;
@@ -21,48 +22,51 @@
   auto operator<=>(const CallKey&) const = default;
 };
 
-// An owner remembers a call for this long after its expiry, on its own clock, so that a question
-// asked at the deadline still gets a proof, and a second delivery is not answered as expired.
+// An owner keeps the tombstone of a call for this long after the call's expiry, on its own clock. A
+// status query sent at the deadline can thus still be answered with certainty, and a second
+// delivery is not answered as expired.
 constexpr std::uint64_t kTombstoneRetentionUs = 10000000;
 
-// What an owner knows of a call that it has neither queued nor running.
+// State of a call that is neither queued nor running, as the owner knows it.
 enum class InactiveCallState {
   kNeverSeen,  // Not run; refused if it still arrives.
   kNotRun,     // Cancelled or refused; refused if it arrives again.
   kMayHaveRun,
 };
 
-// What to do with an arriving call.
+// Decision about an arriving call.
 struct SendDecision {
   Reason refusal = Reason::kNone;
-  bool ignore = false;  // Delivered twice; the first delivery is answered or was answered.
+  bool ignore = false;  // Duplicate delivery; the first one is answered or has been.
 };
 
-// The owner's proof that a call runs at most once and that a call reported as not run never runs.
-// Works on the owner's own clock alone. Calls that are queued or running are kept elsewhere.
+// Ensures on the owner's side that a call runs at most once and that a call reported as not run
+// never runs. Uses only the owner's own clock. Calls that are queued or running are tracked by the
+// caller of this class.
 class SendGuard {
  public:
   explicit SendGuard(Incarnation self) : m_self(self) {}
 
-  // Decides about a call that is neither queued nor running.
+  // Decides whether an arriving call that is neither queued nor running may be accepted.
   SendDecision CheckArrival(const CallKey& key, Incarnation owner, std::uint64_t expires_at_us,
                             std::uint64_t now_us) const;
 
-  // Notes a call that was refused at arrival. Only the last 16,384 of them are kept: links do not
-  // duplicate messages, so this is a second line of defence, and floods refuse many calls.
+  // Records a call that was refused on arrival. Only the last 16,384 are kept: links do not
+  // duplicate messages, so this is only a second line of defence, and a flood causes many refusals.
   void RecordRefused(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
 
-  // Notes that a call was cancelled before it ran, and will not run.
+  // Records that a call was cancelled before it ran; it will not run.
   void RecordCancelled(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
 
-  // Notes that a call ended after it had been dispatched.
+  // Records that a call ended after it had been dispatched.
   void RecordEnded(const CallKey& key, std::uint64_t expires_at_us, std::uint64_t now_us);
 
-  // Answers a status query or a cancel. A call that was never seen will not run after this.
+  // Returns the state of a call for a status query or a cancel. A call that has not arrived yet is
+  // barred from running from then on.
   InactiveCallState ResolveState(const CallKey& key, std::uint64_t expires_at_us,
                                  std::uint64_t now_us);
 
-  // Forgets calls whose expiry is further back than the owner's memory.
+  // Removes tombstones whose retention time is over.
   void Sweep(std::uint64_t now_us);
 
   std::size_t Count() const { return m_ended.size(); }
--- a/src/libs/policy/serverpacer.cpp
+++ b/src/libs/policy/serverpacer.cpp
@@ -6,15 +6,17 @@
 
 namespace {
 
-// The speed of a VM that is shared with others changes several times a second.
+// Maximum age of a reported slowness. The speed of a VM that shares its host changes several times
+// a second.
 constexpr std::chrono::milliseconds kSlownessMaxAge{25};
-// After so many answers the server may be filled once, so that it shows whether it slows down.
+// After this many responses, all slots may be used once to measure whether the server slows down
+// when it is full.
 constexpr std::uint64_t kResponsesPerExploration = 64;
-// A VM that works this much slower than usual is worth waiting for. One that has just started takes
-// about twice the usual time for some seconds, which is not.
+// Calls wait for a VM only if it is at least this much slower than usual. A VM that has just
+// started takes about twice the usual time for some seconds, for which calls should not wait.
 constexpr double kSlownessThreshold = 2.5;
-// A neighbour's burst lasts about 300 ms in the served systems. A VM that stays slow for longer is
-// slow for another reason, which does not pass soon.
+// A load burst of another VM on the same host lasts about 300 ms in the served systems. A VM that
+// stays slow for longer is slow for another reason, which does not end soon.
 constexpr std::chrono::milliseconds kMaxBurst{350};
 constexpr std::chrono::milliseconds kMeanRemainingBurst{150};
 
--- a/src/libs/policy/serverscores.cpp
+++ b/src/libs/policy/serverscores.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-// Round trips that are assumed, twice the one-way delays of the served systems (0.5 ms between data
+// Assumed round trips by tier; twice the one-way delays of the served systems (0.5 ms between data
 // centres, 30 ms between regions).
 constexpr std::array<Duration, kTierCount> kRoundTrips{Duration(300), Duration(1000),
                                                        Duration(60000)};
 
-// A reported queue is worked off or grown within about this time.
+// Decay time of a reported queue delay: a queue drains or grows within about this time.
 constexpr double kQueueDelayDecayUs = 250e3;
-// A server that looks slow gets no calls and so no news; after a few times this it gets one again.
+// Decay time of a reported service time. A server with a long service time gets no calls and thus
+// no new measurement; after a few times this long it gets a call again.
 constexpr double kServiceTimeDecayUs = 5e6;
 
 constexpr double kSuccessSmoothing = 1.0 / 16.0;
@@ -23,9 +24,10 @@
 
 constexpr unsigned kFailuresToSuspend = 5;
 constexpr std::chrono::seconds kFirstSuspension{1};
-// A backend server that refuses connections is often started again at once.
+// A backend server that refuses connections is often restarted immediately, so the first suspension
+// is short.
 constexpr std::chrono::milliseconds kNoBackendSuspension{250};
-constexpr unsigned kMaxDoublings = 6;  // 64 s.
+constexpr unsigned kMaxDoublings = 6;  // Up to 64 s.
 
 constexpr std::chrono::seconds kRampTime{10};
 constexpr double kRampFloor = 0.05;
@@ -58,7 +60,8 @@
     m_consecutive_failures = 0;
     m_success_rate = 1.0;
   }
-  // A Pong repeats the service time although no call has finished, so only a change is news.
+  // A Pong repeats the service time even if no call has completed, so only a changed value is a new
+  // measurement.
   if (is_new || load.service_time != m_load.service_time) m_service_time_at = now;
   m_load = load;
   m_load_at = now;
@@ -124,8 +127,8 @@
   Suspend(kFirstSuspension, now);
 }
 
-// One refused connection is enough, and the server does not count as ejected for its failures: it
-// cannot take calls, whatever the state of the others.
+// A single refused connection suspends the server regardless of the state of the others, as the
+// server cannot take calls. It does not count as an ejection for failures.
 void ServerScore::RecordNoBackend(TimePoint now) {
   m_success_rate -= m_success_rate * kSuccessSmoothing;
   if (m_state != State::kSuspended) Suspend(kNoBackendSuspension, now);
@@ -156,8 +159,8 @@
   return usual + (Microseconds(m_load.service_time) - usual) * std::exp(-age / kServiceTimeDecayUs);
 }
 
-// Time since the server last showed that it works, while it has calls of this ingress. A long call
-// beside short ones that are answered is no stall.
+// Time since the last response of the server, while it has outstanding calls of this ingress. One
+// long call beside short ones that are answered does not count as a stall.
 double ServerScore::StalledTime(TimePoint now) const {
   if (m_outstanding.empty()) return 0.0;
   const TimePoint since = std::max(m_outstanding.front().sent + m_round_trip, m_last_response);
--- a/src/libs/policy/serverscores.h
+++ b/src/libs/policy/serverscores.h
@@ -12,7 +12,7 @@
 
 namespace damaskhollow {
 
-// What an owner reported of its load.
+// Load report of an owner.
 struct ReportedLoad {
   Incarnation incarnation;
   std::size_t in_flight = 0;
@@ -23,54 +23,59 @@
   bool draining = false;
 };
 
-// How one attempt ended, as the ingress sees it.
+// Result of one attempt as seen by the ingress.
 enum class AttemptResult {
-  kAnswered,   // An answer below 500.
-  kError,      // An answer of 500 or above.
+  kAnswered,   // Status below 500.
+  kError,      // Status 500 or above.
   kRefused,    // The owner refused it before it ran.
-  kFailed,     // It broke off or timed out.
+  kFailed,     // Interrupted or timed out.
   kNoBackend,  // The owner could not connect to its backend server.
-  kCancelled,  // The caller left.
+  kCancelled,  // The caller disconnected.
 };
 
-// What is known of one server, and what follows for its share of the calls.
+// Load, health and outstanding attempts of one server as seen by this ingress, from which its share
+// of the calls follows.
 class ServerScore {
  public:
-  // Whether a server takes calls. A suspended server comes back by a trial: one call that it must
-  // answer.
+  // Whether a server gets calls. A suspended server returns to service through a trial: one call
+  // that it must complete.
   enum class State { kNormal, kSuspended, kTrialDue, kTrialRunning };
 
   ServerScore(BackendServerId id, ServerTier tier, bool is_self);
 
+  // Sets whether messages can be sent to the owner. A server that becomes reachable again is due
+  // for a trial unless it is suspended.
   void SetReachable(bool reachable, TimePoint now);
 
-  // A server whose incarnation is new gets slow start. `ramp_first` says whether that holds for the
-  // first incarnation seen as well.
+  // Stores a load report. A server with a new incarnation gets slow start; `ramp_first` says
+  // whether that applies to the first incarnation seen as well.
   void RecordLoad(const ReportedLoad& load, bool ramp_first, TimePoint now);
+  // Adds an outstanding attempt, which becomes the trial if one is due.
   void RecordSent(CallId attempt, std::size_t priority_index, TimePoint now);
 
-  // `may_suspend` is false when too many servers of the service are suspended already.
+  // Removes an outstanding attempt and updates the health. `may_suspend` is false if too many
+  // servers of the service are already suspended.
   void RecordEnded(CallId attempt, AttemptResult result, bool may_suspend, TimePoint now);
 
-  // Ends a suspension whose time is over.
+  // Ends a suspension whose time is over; a trial is then due.
   void Refresh(TimePoint now);
 
-  // Expected time from sending a call of this priority to its answer. Less urgent calls of this
-  // ingress do not count, as the owner serves the more urgent first. `typical` is the usual service
-  // time of the service, which stands in for what is not known of this server any more.
+  // Returns the expected time from sending a call of this priority to its response. Less urgent
+  // calls of this ingress do not count, as the owner serves more urgent calls first. `typical` is
+  // the typical service time of the service; it replaces outdated reports of this server.
   Duration ExpectedDelay(std::size_t priority_index, Duration typical, TimePoint now) const;
 
-  // Part of its normal share that the server may get, 0 to 1; below 1 during slow start.
+  // Share of its normal calls that the server may get, 0 to 1; below 1 during slow start.
   double RampShare(TimePoint now) const;
 
   const BackendServerId& Id() const { return m_id; }
   ServerTier Tier() const { return m_tier; }
   State CurrentState() const { return m_state; }
-  // Whether the server counts as ejected for its failures.
+  // Whether the server is ejected because of its failures.
   bool IsEjected() const { return m_ejected; }
-  // Whether a message can be sent to it and it does not drain.
+  // Whether a message can be sent to the server and it is not draining.
   bool IsOpen() const { return m_reachable && !m_load.draining; }
-  // Since when a trial is due.
+  // Time since which a trial is due.
   TimePoint TrialDueSince() const { return m_state_until; }
   const ReportedLoad& Load() const { return m_load; }
   Duration RoundTrip() const { return m_round_trip; }
@@ -100,11 +105,11 @@
   TimePoint m_service_time_at{};        // When the reported service time last changed.
   std::vector<SentCall> m_outstanding;  // Oldest first.
   TimePoint m_last_response{};
-  double m_success_rate = 1.0;  // Smoothed part of calls that did not fail.
+  double m_success_rate = 1.0;  // Smoothed share of calls that did not fail.
   unsigned m_consecutive_failures = 0;
-  unsigned m_suspensions = 0;  // Without a full slow start in between.
+  unsigned m_suspensions = 0;  // Since the last completed slow start.
   State m_state = State::kNormal;
-  TimePoint m_state_until{};  // End of the suspension; later, since when a trial is due.
+  TimePoint m_state_until{};  // End of the suspension, or time since which a trial is due.
   CallId m_trial;
   bool m_ejected = false;
   std::optional<TimePoint> m_ramp_from;
--- a/src/libs/policy/serversubset.cpp
+++ b/src/libs/policy/serversubset.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Services of both present systems have at most 6 servers; all of them fit.
+// Services of both served systems have at most 6 servers, so all of them are in the subset.
 constexpr std::size_t kFullSubset = 12;
 constexpr double kServersPerDoubling = 2.0;
 constexpr std::size_t kOtherRegionDivisor = 4;    // A quarter of the subset.
@@ -22,6 +22,7 @@
 using Ranked = std::pair<std::uint64_t, const BackendServer*>;
 using Tiers = std::array<std::vector<Ranked>, kTierCount>;
 
+// Groups the servers by tier and sorts each tier by hash; the own server ranks first.
 Tiers RankByTier(const NodeLocation& location, std::span<const BackendServer* const> servers) {
   Tiers tiers;
   for (const BackendServer* server : servers) {
@@ -39,6 +40,7 @@
   return tiers;
 }
 
+// Returns how many servers of each tier are in a subset of this size.
 std::array<std::size_t, kTierCount> DistributeSlots(const Tiers& tiers, std::size_t size) {
   const std::size_t other_region = size / kOtherRegionDivisor;
   const std::size_t own_data_centre = (size - other_region) / kOwnDataCentreDivisor;
--- a/src/libs/policy/serversubset.h
+++ b/src/libs/policy/serversubset.h
@@ -10,27 +10,28 @@
 
 namespace damaskhollow {
 
-// Where this node stands.
+// Location of this node.
 struct NodeLocation {
   BackendServerId server;
   RegionId region;
   DataCentreId data_centre;
 };
 
-// How far a server is from this node, nearest first.
+// Distance of a server from this node, nearest first.
 enum class ServerTier { kOwnDataCentre, kOwnRegion, kOtherRegion };
 
 constexpr std::size_t kTierCount = 3;
 
 ServerTier TierOf(const NodeLocation& location, const BackendServer& server);
 
-// How many servers of a service one ingress uses, of `fleet` that the service has.
+// Returns how many servers of a service one ingress uses, where `fleet` is the number of servers of
+// the service.
 std::size_t SubsetSize(const Service& service, std::size_t fleet);
 
-// The servers that this node uses of those given, by rendezvous hashing with the node's id. A
-// server that joins or leaves changes the subset by about one server. The node's own server is
-// always in it. Some places are kept for each tier, so that calls can spill over; places that a
-// tier cannot fill go to the nearest tier that can.
+// Selects the servers that this node uses, by rendezvous hashing with the id of the node. A server
+// that joins or leaves changes the subset by about one server. The own server of the node is always
+// included. Some slots are reserved for each tier, so that calls can spill over; slots that a tier
+// cannot fill go to the nearest tier that can.
 std::vector<const BackendServer*> SelectSubset(const NodeLocation& location, std::size_t size,
                                                std::span<const BackendServer* const> servers);
 
--- a/src/libs/policy/splitpicker.cpp
+++ b/src/libs/policy/splitpicker.cpp
@@ -16,7 +16,8 @@
 
 const ServiceId& SplitPicker::Pick(const RouteId& route, std::span<const RoutePart> parts) {
   if (parts.size() == 1) return parts.front().service;
-  // Routes come and go with configurations; losing their credits costs one call of evenness each.
+  // Routes change with configurations, so the number of entries is bounded. Clearing the credits
+  // shifts the distribution by one call per route.
   if (m_credits.size() >= kMaxRoutes && !m_credits.contains(route)) m_credits.clear();
   Credits& state = m_credits[route];
   if (!std::equal(parts.begin(), parts.end(), state.parts.begin(), state.parts.end(), IsSame)) {
--- a/src/libs/policy/splitpicker.h
+++ b/src/libs/policy/splitpicker.h
@@ -10,17 +10,17 @@
 
 namespace damaskhollow {
 
-// Deals the calls of routes out to their parts by smooth weighted round robin, so that each part
-// gets its share in any run of calls. A part without room does not change the shares. Not
+// Distributes the calls of routes to their parts by smooth weighted round robin, so that each part
+// gets its share in any sequence of calls. A part without capacity does not change the shares. Not
 // thread-safe.
 class SplitPicker {
  public:
-  // The service that takes the route's next call. `parts` must not be empty.
+  // Returns the service for the next call of the route. `parts` must not be empty.
   const ServiceId& Pick(const RouteId& route, std::span<const RoutePart> parts);
 
  private:
   struct Credits {
-    std::vector<RoutePart> parts;  // That the credits belong to.
+    std::vector<RoutePart> parts;  // Parts that the credits were computed for.
     std::vector<double> credits;
   };
 
--- a/src/libs/policy/suspectgate.cpp
+++ b/src/libs/policy/suspectgate.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// After a crash hardly more suspects wait than were in flight; others may go to another server.
+// After a crash, hardly more suspects wait than were in flight; the others may go to another
+// server.
 constexpr std::size_t kMaxWaiting = 128;
 constexpr std::size_t kMaxWaitingBytes = 1024UL * 1024UL;
 
--- a/src/libs/policy/suspectgate.h
+++ b/src/libs/policy/suspectgate.h
@@ -12,28 +12,28 @@
 
 namespace damaskhollow {
 
-// Lets at most one suspect request pass to a backend server at a time, so that the next crash
-// blames no innocent request a second time. The others wait here, in order, before admission.
+// Admits at most one suspect request to a backend server at a time, so that the next crash does not
+// put an unrelated request under suspicion again. The others wait in order before admission.
 class SuspectGate {
  public:
-  // Whether a suspect must wait.
+  // Whether a suspect is admitted, so that the next one must wait.
   bool IsOccupied() const { return m_admitted.has_value(); }
 
-  // Notes that the call has passed as the one suspect.
+  // Registers the call as the one admitted suspect.
   void Enter(OwnedCallId call) { m_admitted = call; }
 
-  // Takes a call that must wait, or returns why there is no place for it.
+  // Queues a call that must wait, or returns the reason why the queue is full.
   Reason Wait(OwnedCallId call, std::size_t bytes);
 
-  // Forgets a call that ended, was cancelled or has expired, whether it waits or not.
+  // Removes a call that has ended, was cancelled or has expired, whether it is waiting or admitted.
   void Leave(OwnedCallId call);
 
-  // The calls that wait, the longest first.
+  // Returns the waiting calls, longest wait first.
   std::vector<OwnedCallId> Waiting() const;
 
  private:
   std::optional<OwnedCallId> m_admitted;
-  std::deque<std::pair<OwnedCallId, std::size_t>> m_waiting;  // With their bytes.
+  std::deque<std::pair<OwnedCallId, std::size_t>> m_waiting;  // With their size in bytes.
   std::size_t m_bytes = 0;
 };
 
