--- a/src/libs/policy/serverpacer.cpp
+++ b/src/libs/policy/serverpacer.cpp
@@ -11,7 +11,7 @@
 constexpr std::chrono::milliseconds kSlownessMaxAge{25};
 // After this many responses, all slots may be used once to measure whether the server slows down
 // when it is full.
-constexpr std::uint64_t kResponsesPerExploration = 64;
+constexpr std::uint64_t kExplorationInterval = 64;
 // Calls wait for a VM only if it is at least this much slower than usual. A VM that has just
 // started takes about twice the usual time for some seconds, for which calls should not wait.
 constexpr double kSlownessThreshold = 2.5;
@@ -43,8 +43,7 @@
 }
 
 std::size_t ServerPacer::MaxInFlight(std::size_t slots) {
-  if (m_responses_since_exploration < kResponsesPerExploration)
-    return m_estimate.BestInFlight(slots);
+  if (m_responses_since_exploration < kExplorationInterval) return m_estimate.BestInFlight(slots);
   m_responses_since_exploration = 0;
   return slots;
 }
