--- a/src/libs/policy/admissionqueue.cpp
+++ b/src/libs/policy/admissionqueue.cpp
@@ -11,27 +11,31 @@
 constexpr int kServiceTimeSmoothing = 8;
 // Shares of slot time are measured over this window, with exponential decay.
 constexpr double kShareWindowUs = 1e6;
-// Stands for the service time until a call has completed.
+// Assumed service time until a call has completed.
 constexpr Duration kUnknownServiceTime{1000};
-// Without a completion for this long, a priority's service time is doubted: if it is too long for
-// any call to be taken, none would come to correct it.
-constexpr std::chrono::milliseconds kServiceTimeAge{1000};
-// One decrease per congestion event; the factor is that of common TCP congestion controls.
+// A priority's service time counts as stale if no call of the priority has completed for this long.
+// Otherwise a value too long for any call to be admitted would never be corrected.
+constexpr std::chrono::milliseconds kServiceTimeMaxAge{1000};
+// The limit is decreased at most once per congestion event, by a factor common in TCP congestion
+// control.
 constexpr double kDecreaseFactor = 0.7;
 
-// Keeps the expected wait finite when other priorities take everything.
-constexpr double kLeastShare = 0.01;
+// Minimum assumed share, which keeps the expected wait finite when other priorities use all slots.
+constexpr double kMinShare = 0.01;
 
-// A call that has less than this part of its usual time left is not worth starting.
-constexpr double kWorthStarting = 0.7;
+// A call is not started if less than this fraction of its expected run time is left before its
+// deadline.
+constexpr double kMinStartFraction = 0.7;
 
 constexpr std::size_t kNoLane = std::numeric_limits<std::size_t>::max();
 
-Duration WorthStarting(Duration run) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(run.count()) * kWorthStarting));
+// Time that must be left before the deadline to start a call with this expected run time.
+Duration MinTimeToStart(Duration run) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(run.count()) * kMinStartFraction));
 }
 
-// The room that a lane's guarantee still reserves in a cap of which the lane uses `used`.
+// Returns the part of a limit that a lane's guaranteed share still reserves when the lane uses
+// `used`.
 std::size_t UnusedReserve(double guaranteed_share, std::size_t cap, std::size_t used) {
   const auto reserve = static_cast<std::size_t>(guaranteed_share * static_cast<double>(cap));
   return reserve > used ? reserve - used : 0;
@@ -80,11 +84,11 @@
 
 Duration AdmissionQueue::ServiceTimeOf(const Lane& lane) const {
   if (lane.service_time.count() == 0) return m_service_time;
-  const bool is_doubted = m_accrued_until - lane.completed_at > kServiceTimeAge;
-  return is_doubted ? std::min(lane.service_time, m_service_time) : lane.service_time;
+  const bool is_stale = m_accrued_until - lane.completed_at > kServiceTimeMaxAge;
+  return is_stale ? std::min(lane.service_time, m_service_time) : lane.service_time;
 }
 
-double AdmissionQueue::ShareOfLessUrgent(std::size_t lane) const {
+double AdmissionQueue::GuaranteedShareOfLessUrgent(std::size_t lane) const {
   double share = 0.0;
   for (std::size_t index = lane + 1; index < m_lanes.size(); ++index) {
     if (!m_lanes[index].queue.empty()) share += m_lanes[index].priority.guaranteed_share;
@@ -93,11 +97,11 @@
 }
 
 double AdmissionQueue::ExpectedShare(std::size_t lane) const {
-  // More urgent work is expected to come as it did in the last window.
+  // Assumes that more urgent work arrives at the same rate as in the last window.
   const double capacity = static_cast<double>(Limit()) * kShareWindowUs;
-  double share = 1.0 - ShareOfLessUrgent(lane);
+  double share = 1.0 - GuaranteedShareOfLessUrgent(lane);
   for (std::size_t index = 0; index < lane; ++index) share -= m_lanes[index].served / capacity;
-  return std::max({share, m_lanes[lane].priority.guaranteed_share, kLeastShare});
+  return std::max({share, m_lanes[lane].priority.guaranteed_share, kMinShare});
 }
 
 Duration AdmissionQueue::ExpectedWait(std::size_t lane) const {
@@ -109,15 +113,15 @@
   double work = own_work;  // Slot time, in microseconds.
   for (std::size_t index = 0; index < lane; ++index) {
     const Lane& ahead = m_lanes[index];
-    const bool late_goes_first = ahead.priority.group < own.priority.group;
-    const std::size_t count = ahead.queue.size() + (late_goes_first ? ahead.late.size() : 0);
+    const bool late_is_ahead = ahead.priority.group < own.priority.group;
+    const std::size_t count = ahead.queue.size() + (late_is_ahead ? ahead.late.size() : 0);
     work += static_cast<double>(count) * static_cast<double>(ServiceTimeOf(ahead).count());
   }
-  const double available = std::max(1.0 - ShareOfLessUrgent(lane), kLeastShare);
+  const double available = std::max(1.0 - GuaranteedShareOfLessUrgent(lane), kMinShare);
   const double by_order = work / (limit * available);
   const double by_share = own_work / (limit * ExpectedShare(lane));
   double wait = std::max(by_order, by_share);
-  // More urgent work is not ahead of what a guarantee covers.
+  // More urgent work does not delay calls within the guaranteed share.
   const double guaranteed = own.priority.guaranteed_share;
   if (guaranteed > 0.0) wait = std::min(wait, own_work / (limit * guaranteed));
   return Duration(static_cast<Duration::rep>(wait));
@@ -139,9 +143,9 @@
   return now + ExpectedWait(lane) + ServiceTimeOf(m_lanes[lane]) <= call.target;
 }
 
-// Moves the calls that waited too long to be answered in time behind the others, and gives up those
-// that would be cut off while they run.
-void AdmissionQueue::MoveLate(TimePoint now) {
+// Moves calls that can no longer meet their target behind the others, and expires late calls that
+// would reach their deadline while they run.
+void AdmissionQueue::DemoteLateCalls(TimePoint now) {
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
     Lane& lane = m_lanes[index];
     const Duration run = ServiceTimeOf(lane);
@@ -150,7 +154,7 @@
       m_queued.at(lane.queue.front().id).late = true;
       lane.late.splice(lane.late.end(), lane.queue, lane.queue.begin());
     }
-    while (!lane.late.empty() && now + WorthStarting(run) > lane.late.front().deadline) {
+    while (!lane.late.empty() && now + MinTimeToStart(run) > lane.late.front().deadline) {
       const OwnedCallId id = lane.late.front().id;
       m_expired.push_back(id);
       Remove(id);
@@ -158,7 +162,8 @@
   }
 }
 
-bool AdmissionQueue::FitsTime(const AdmissionCall& call, std::size_t lane, TimePoint now) const {
+bool AdmissionQueue::MeetsTimeLimits(const AdmissionCall& call, std::size_t lane,
+                                     TimePoint now) const {
   if (call.target != TimePoint::max()) {
     if (IsInTime(call, lane, now)) return true;
     return now + ExpectedLateWait(lane) + ServiceTimeOf(m_lanes[lane]) <= call.deadline;
@@ -167,7 +172,7 @@
   if (wait.count() == 0) return true;
   const Duration bound = m_lanes[lane].priority.queue_bound;
   if (bound.count() > 0 && wait > bound) return false;
-  // A call that waits also needs its time on the backend server before its deadline.
+  // A queued call also needs its run time on the backend server before its deadline.
   return wait + ServiceTimeOf(m_lanes[lane]) <= call.deadline - now;
 }
 
@@ -191,10 +196,11 @@
     admission.refusal = Reason::kQueueFullBytes;
     return false;
   }
-  std::vector<std::pair<std::size_t, AdmissionCall>> victims;  // With their lanes, newest first.
+  std::vector<std::pair<std::size_t, AdmissionCall>> victims;  // With lane index, newest first.
   Reason reason = CheckRoom(lane, bytes);
   for (std::size_t index = m_lanes.size(); reason != Reason::kNone && index-- > lane + 1;) {
-    // What a guarantee reserves is not taken away, or a flood of urgent work would void it.
+    // Calls within a guaranteed share are not evicted; otherwise a flood of urgent work would make
+    // the guarantee ineffective.
     Lane& victim = m_lanes[index];
     while (reason != Reason::kNone && victim.Count() > 0) {
       const AdmissionCall& newest = victim.late.empty() ? victim.queue.back() : victim.late.back();
@@ -213,7 +219,7 @@
     for (const auto& [index, call] : victims) admission.evicted.push_back(call.id);
     return true;
   }
-  // Evicting did not help, so it is undone, oldest first.
+  // Eviction did not free enough room, so it is undone, oldest call first.
   for (auto victim = victims.rbegin(); victim != victims.rend(); ++victim) {
     Enqueue(victim->second, victim->first, false);
   }
@@ -231,15 +237,15 @@
   CollectExpired(now);
   Accrue(now);
   const std::size_t lane = std::min(call.priority_index, m_lanes.size() - 1);
-  const bool runs_at_once = HasFreeSlot() && m_queued.empty();
-  if (!runs_at_once) {
-    if (!FitsTime(call, lane, now)) {
+  const bool runs_immediately = HasFreeSlot() && m_queued.empty();
+  if (!runs_immediately) {
+    if (!MeetsTimeLimits(call, lane, now)) {
       admission.refusal = Reason::kQueueFullTime;
       return admission;
     }
     if (!MakeRoom(lane, call.bytes, admission)) return admission;
   }
-  Enqueue(call, lane, !runs_at_once && !IsInTime(call, lane, now));
+  Enqueue(call, lane, !runs_immediately && !IsInTime(call, lane, now));
   return admission;
 }
 
@@ -265,8 +271,8 @@
 }
 
 double AdmissionQueue::ProjectedSlotTime(const Lane& lane) const {
-  // Calls that run are counted with the time that they are expected to take. Without it, all slots
-  // that are free at one instant would go to the same priority.
+  // Running calls count with their expected run time. Without it, all slots that become free at one
+  // instant would go to the same priority.
   const Duration expected = std::max(ServiceTimeOf(lane), kUnknownServiceTime);
   return lane.served + static_cast<double>(lane.running) * static_cast<double>(expected.count());
 }
@@ -289,7 +295,8 @@
   return most_underserved != kNoLane ? most_underserved : NextLaneByUrgency(is_held);
 }
 
-// The most urgent group that has work; in it, calls that can be answered in time go first.
+// Selects the most urgent group that has queued calls; within it, calls that can meet their target
+// come first.
 std::size_t AdmissionQueue::NextLaneByUrgency(const IsHeld& is_held) const {
   std::size_t first_late = kNoLane;
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
@@ -304,11 +311,11 @@
   return first_late;
 }
 
-std::vector<OwnedCallId> AdmissionQueue::TakeDispatchable(TimePoint now, const IsHeld& is_held) {
+std::vector<OwnedCallId> AdmissionQueue::PopDispatchable(TimePoint now, const IsHeld& is_held) {
   CollectExpired(now);
   Accrue(now);
-  MoveLate(now);
-  std::vector<OwnedCallId> taken;
+  DemoteLateCalls(now);
+  std::vector<OwnedCallId> dispatchable;
   while (HasFreeSlot() && !m_queued.empty()) {
     const std::size_t index = NextLane(is_held);
     if (index == kNoLane) break;
@@ -317,9 +324,9 @@
     Remove(id);
     ++m_lanes[index].running;
     m_running[id] = Running{now, index};
-    taken.push_back(id);
+    dispatchable.push_back(id);
   }
-  return taken;
+  return dispatchable;
 }
 
 void AdmissionQueue::CollectExpired(TimePoint now) {
@@ -330,44 +337,44 @@
   }
 }
 
-std::vector<OwnedCallId> AdmissionQueue::TakeExpired(TimePoint now) {
+std::vector<OwnedCallId> AdmissionQueue::PopExpired(TimePoint now) {
   CollectExpired(now);
   return std::exchange(m_expired, {});
 }
 
-double AdmissionQueue::WorkBeforeLate(std::size_t lane) const {
+double AdmissionQueue::WorkAheadOfLate(std::size_t lane) const {
   const std::size_t group = m_lanes[lane].priority.group;
   double work = 0.0;
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
     const Lane& other = m_lanes[index];
     if (other.priority.group > group) break;
-    const bool late_goes_before = other.priority.group < group || index < lane;
-    const std::size_t count = other.queue.size() + (late_goes_before ? other.late.size() : 0);
+    const bool counts_late = other.priority.group < group || index < lane;
+    const std::size_t count = other.queue.size() + (counts_late ? other.late.size() : 0);
     work += static_cast<double>(count) * static_cast<double>(ServiceTimeOf(other).count());
   }
   return work;
 }
 
-std::vector<OwnedCallId> AdmissionQueue::TakeHopeless(TimePoint now) {
-  std::vector<OwnedCallId> hopeless;
+std::vector<OwnedCallId> AdmissionQueue::PopUnservable(TimePoint now) {
+  std::vector<OwnedCallId> unservable;
   const auto limit = static_cast<double>(Limit());
   for (std::size_t index = 0; index < m_lanes.size(); ++index) {
     const Lane& lane = m_lanes[index];
     const Duration run = ServiceTimeOf(lane);
-    double work = WorkBeforeLate(index);
-    std::vector<OwnedCallId> given_up;
+    double work = WorkAheadOfLate(index);
+    std::vector<OwnedCallId> unservable_in_lane;
     for (const AdmissionCall& call : lane.late) {
       const Duration wait(static_cast<Duration::rep>(work / limit));
-      if (now + wait + WorthStarting(run) > call.deadline) {
-        given_up.push_back(call.id);
+      if (now + wait + MinTimeToStart(run) > call.deadline) {
+        unservable_in_lane.push_back(call.id);
       } else {
         work += static_cast<double>(run.count());
       }
     }
-    for (const OwnedCallId id : given_up) Remove(id);
-    hopeless.insert(hopeless.end(), given_up.begin(), given_up.end());
+    for (const OwnedCallId id : unservable_in_lane) Remove(id);
+    unservable.insert(unservable.end(), unservable_in_lane.begin(), unservable_in_lane.end());
   }
-  return hopeless;
+  return unservable;
 }
 
 bool AdmissionQueue::Cancel(OwnedCallId id) {
@@ -387,7 +394,7 @@
   }
 }
 
-void AdmissionQueue::NoteServiceTime(Lane& lane, Duration time) {
+void AdmissionQueue::UpdateServiceTime(Lane& lane, Duration time) {
   const auto smooth = [time](Duration& average) {
     average = average.count() == 0 ? time : average + (time - average) / kServiceTimeSmoothing;
   };
@@ -398,7 +405,7 @@
 void AdmissionQueue::AdaptLimit(SlotResult result, TimePoint dispatched, TimePoint now) {
   const auto slots = static_cast<double>(m_limits.slots);
   if (result == SlotResult::kShed) {
-    // Calls that were sent before the last decrease do not tell whether it was enough.
+    // Calls dispatched before the last decrease do not show whether it was sufficient.
     if (dispatched < m_last_decrease) return;
     m_limit = std::max(1.0, m_limit * kDecreaseFactor);
     m_last_decrease = now;
@@ -411,7 +418,7 @@
   }
 }
 
-void AdmissionQueue::NoteFinished(OwnedCallId id, SlotResult result, TimePoint now) {
+void AdmissionQueue::OnCallFinished(OwnedCallId id, SlotResult result, TimePoint now) {
   const auto found = m_running.find(id);
   if (found == m_running.end()) return;
   Accrue(now);
@@ -421,7 +428,7 @@
   Lane& lane = m_lanes[running.lane];
   --lane.running;
   if (result != SlotResult::kCompleted) return;
-  NoteServiceTime(lane, now - running.since);
+  UpdateServiceTime(lane, now - running.since);
   lane.completed_at = now;
 }
 
--- a/src/libs/policy/crashguard.cpp
+++ b/src/libs/policy/crashguard.cpp
@@ -13,26 +13,26 @@
 constexpr std::chrono::minutes kBanTime{5};
 constexpr std::chrono::minutes kSuspicionTime{5};
 constexpr std::size_t kMaxEntries = 1024;
-// More owners than the ban needs add nothing.
+// Reporters beyond the number needed for a ban make no difference.
 constexpr std::size_t kMaxReportersPerDigest = 4;
 
-// A peer may report the calls in flight of a few crashes at once, and then far fewer than would
-// fill the table within the time of a suspicion.
+// Rate limit per peer: the calls in flight of a few crashes at once, then far fewer than would fill
+// the table within the suspicion time.
 constexpr double kAllowanceDigests = 64.0;
 constexpr double kAllowancePerSecond = 1.0;
 
 // Reports against a digest that was answered here within this time are ignored: it was in flight by
-// chance, or the report is forged. This holds after a crash of the own server too, as a crashing
-// request that is retried at once can crash several servers beside the same popular request before
-// the first report arrives.
+// chance, or the report is forged. This also applies after a crash of the own server, because a
+// crashing request that is retried immediately can crash several servers beside the same popular
+// request before the first report arrives.
 constexpr std::chrono::seconds kRecentCompletion{10};
 
 std::uint64_t HashOf(std::string_view digest) { return StableHash("completion", digest); }
 
 }  // namespace
 
-std::vector<std::string> CrashGuard::NoteCrash(std::span<const std::string> digests,
-                                               TimePoint now) {
+std::vector<std::string> CrashGuard::RecordCrash(std::span<const std::string> digests,
+                                                 TimePoint now) {
   std::vector<std::string> banned;
   for (const std::string& digest : digests) {
     Entry& entry = FindOrAdd(digest, now);
@@ -42,13 +42,13 @@
   return banned;
 }
 
-std::vector<std::string> CrashGuard::NoteReportedCrash(const BackendServerId& owner,
-                                                       std::span<const std::string> digests,
-                                                       TimePoint now) {
+std::vector<std::string> CrashGuard::RecordReportedCrash(const BackendServerId& owner,
+                                                         std::span<const std::string> digests,
+                                                         TimePoint now) {
   std::vector<std::string> banned;
   for (const std::string& digest : digests) {
-    if (!TakeAllowance(owner, now)) return banned;
-    if (CompletedRecently(digest, now)) continue;
+    if (!TryConsumeAllowance(owner, now)) return banned;
+    if (HasCompletedRecently(digest, now)) continue;
     Entry& entry = FindOrAdd(digest, now);
     const auto known = std::find_if(entry.reported.begin(), entry.reported.end(),
                                     [&](const auto& report) { return report.first == owner; });
@@ -62,8 +62,8 @@
   return banned;
 }
 
-bool CrashGuard::NoteCompleted(std::string_view digest, TimePoint now) {
-  RememberCompletion(digest, now);
+bool CrashGuard::RecordCompletion(std::string_view digest, TimePoint now) {
+  CacheCompletionTime(digest, now);
   const auto found = m_entries.find(digest);
   if (found == m_entries.end()) return false;
   const bool was_suspect = IsCurrent(found->second, now);
@@ -71,12 +71,13 @@
   return was_suspect;
 }
 
-void CrashGuard::NoteReportedCompletion(const BackendServerId& owner,
-                                        std::span<const std::string> digests, TimePoint now) {
+void CrashGuard::RecordReportedCompletion(const BackendServerId& owner,
+                                          std::span<const std::string> digests, TimePoint now) {
   for (const std::string& digest : digests) {
-    if (!TakeAllowance(owner, now)) return;
+    if (!TryConsumeAllowance(owner, now)) return;
     const auto found = m_entries.find(digest);
-    // A ban ends by time only, as a false report would let the request crash servers again.
+    // A ban ends only by time, as a false completion report would let the request crash servers
+    // again.
     if (found == m_entries.end() || found->second.banned_until > now) continue;
     Erase(found);
   }
@@ -128,7 +129,7 @@
   return true;
 }
 
-bool CrashGuard::TakeAllowance(const BackendServerId& owner, TimePoint now) {
+bool CrashGuard::TryConsumeAllowance(const BackendServerId& owner, TimePoint now) {
   const auto [found, is_new] = m_allowances.try_emplace(owner);
   Allowance& allowance = found->second;
   if (is_new) {
@@ -144,7 +145,7 @@
   return true;
 }
 
-void CrashGuard::RememberCompletion(std::string_view digest, TimePoint now) {
+void CrashGuard::CacheCompletionTime(std::string_view digest, TimePoint now) {
   const std::uint64_t hash = HashOf(digest);
   CompletionSet& set = m_completions[hash % kCompletionSets];
   auto slot = std::find_if(set.begin(), set.end(),
@@ -156,7 +157,7 @@
   *slot = Completion{hash, now};
 }
 
-bool CrashGuard::CompletedRecently(std::string_view digest, TimePoint now) const {
+bool CrashGuard::HasCompletedRecently(std::string_view digest, TimePoint now) const {
   const std::uint64_t hash = HashOf(digest);
   const CompletionSet& set = m_completions[hash % kCompletionSets];
   return std::any_of(set.begin(), set.end(), [&](const Completion& entry) {
--- a/src/libs/policy/suspectgate.cpp
+++ b/src/libs/policy/suspectgate.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// After a crash hardly more suspects wait than were in flight; others may go to another server.
+// After a crash, hardly more suspects wait than were in flight; the others may go to another
+// server.
 constexpr std::size_t kMaxWaiting = 128;
 constexpr std::size_t kMaxWaitingBytes = 1024UL * 1024UL;
 
@@ -21,8 +22,8 @@
 }
 
 void SuspectGate::Leave(OwnedCallId call) {
-  if (m_inside == call) {
-    m_inside.reset();
+  if (m_admitted == call) {
+    m_admitted.reset();
     return;
   }
   const auto found = std::find_if(m_waiting.begin(), m_waiting.end(),
