--- a/src/libs/calls/callheaders.cpp
+++ b/src/libs/calls/callheaders.cpp
@@ -153,8 +153,9 @@
   json.insert("explanation", ToQString(info.explanation));
   ReasonAnswer answer;
   answer.body = QJsonDocument(json).toJson(QJsonDocument::Compact).toStdString() + "\n";
-  answer.head.status =
-      convention.status_is_promise ? PromisedStatus(info.http_status, outcome) : info.http_status;
+  answer.head.status = convention.status_guarantees_not_run
+                           ? PromisedStatus(info.http_status, outcome)
+                           : info.http_status;
   answer.head.content_length = answer.body.size();
   answer.head.headers.push_back({"Content-Type", "application/json"});
   AddField(answer.head.headers, convention.outcome, OutcomeName(outcome));
--- a/src/libs/control/healthprobe.cpp
+++ b/src/libs/control/healthprobe.cpp
@@ -61,7 +61,7 @@
   m_connection.release()->deleteLater();
 }
 
-void HealthProbe::OnBackendPart(ConnectionId, AnswerPart part, bool reusable) {
+void HealthProbe::OnBackendResponsePart(ConnectionId, ResponsePart part, bool reusable) {
   if (part.head) m_status = part.head->status;
   if (!part.last) return;
   m_running = false;
--- a/src/libs/control/healthprobe.h
+++ b/src/libs/control/healthprobe.h
@@ -32,7 +32,7 @@
   void Tick(TimePoint now);
 
  private:
-  void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) override;
+  void OnBackendResponsePart(ConnectionId connection, ResponsePart part, bool reusable) override;
   void OnBackendFailed(ConnectionId connection, Reason reason, bool may_have_run) override;
   void OnBackendIdleClosed(ConnectionId connection) override;
 
--- a/src/libs/http/backendconnection.cpp
+++ b/src/libs/http/backendconnection.cpp
@@ -20,14 +20,14 @@
 
 constexpr qint64 kReadBufferBytes = 64LL * 1024LL;
 constexpr std::uint32_t kHeaderLimitBytes = 64 * 1024;
-constexpr std::size_t kUnframedReadBytes = 16UL * 1024UL;
+constexpr std::size_t kCloseDelimitedReadBytes = 16UL * 1024UL;
 constexpr int kFirstSuccess = 200;
 constexpr int kFirstRedirect = 300;
 
 bool IsSuccess(int status) { return status >= kFirstSuccess && status < kFirstRedirect; }
 
 // The `timeout` parameter of a Keep-Alive field, which is in whole seconds.
-std::optional<Duration> KeepAliveTime(std::string_view field) {
+std::optional<Duration> ParseKeepAliveTimeout(std::string_view field) {
   constexpr std::string_view kName = "timeout=";
   const std::size_t start = field.find(kName);
   if (start == std::string_view::npos) return std::nullopt;
@@ -58,22 +58,22 @@
     : m_id(id), m_server(server), m_events(events) {
   m_socket.setReadBufferSize(kReadBufferBytes);
   m_timer.setSingleShot(true);
-  connect(&m_socket, &QTcpSocket::connected, this, &BackendConnection::Connected);
+  connect(&m_socket, &QTcpSocket::connected, this, &BackendConnection::OnConnected);
   connect(&m_socket, &QTcpSocket::readyRead, this, &BackendConnection::ReadMore);
-  connect(&m_socket, &QTcpSocket::disconnected, this, &BackendConnection::NoteClosed);
-  connect(&m_socket, &QTcpSocket::errorOccurred, this, &BackendConnection::NoteClosed);
+  connect(&m_socket, &QTcpSocket::disconnected, this, &BackendConnection::OnClosed);
+  connect(&m_socket, &QTcpSocket::errorOccurred, this, &BackendConnection::OnClosed);
   connect(&m_timer, &QTimer::timeout, this, [this] { Fail(Reason::kBackendTimeout); });
 }
 
 BackendConnection::~BackendConnection() {
   m_socket.disconnect(this);
-  CloseUnframedBody();
+  EndCloseDelimitedBody();
 }
 
 void BackendConnection::Send(const HttpRequest& request, std::size_t credit,
-                             std::chrono::milliseconds timeout, AnswerCheck check) {
+                             std::chrono::milliseconds timeout, ResponseCheck check) {
   m_check = std::move(check);
-  m_skipping = false;
+  m_skipping_response = false;
   m_output = SerializeRequest(request);
   m_method = request.method;
   m_credit = credit;
@@ -86,7 +86,7 @@
   m_socket.connectToHost(QString::fromStdString(m_server.address), m_server.port);
 }
 
-void BackendConnection::Connected() {
+void BackendConnection::OnConnected() {
   m_socket.setSocketOption(QAbstractSocket::LowDelayOption, 1);
   WriteRequest();
 }
@@ -133,8 +133,8 @@
       if (m_state == State::kClosed) return;
     }
     CollectBody();
-    if (m_skipping && m_parser->is_done()) {
-      m_skipping = false;
+    if (m_skipping_response && m_parser->is_done()) {
+      m_skipping_response = false;
       m_head_parsed = false;
       m_state = State::kWaiting;
       StartParser();
@@ -142,7 +142,7 @@
   }
   if (error && error != http::error::need_more) return Fail(Reason::kBackendMalformed);
   if (m_parser->is_done()) return Finish();
-  if (m_head_parsed && m_parser->need_eof()) StartUnframedBody();
+  if (m_head_parsed && m_parser->need_eof()) StartCloseDelimitedBody();
 }
 
 void BackendConnection::StartParser() {
@@ -165,48 +165,49 @@
     head.headers.push_back({std::string(field.name_string()), std::string(field.value())});
   }
   if (const auto length = m_parser->content_length()) head.content_length = *length;
-  m_skipping = IsAnswerToOther(head);
-  if (!m_skipping && !IsTrusted(head)) return Fail(Reason::kBackendMalformed);
-  m_kept_idle_for = KeepAliveTime(FindHeader(head.headers, "Keep-Alive"));
-  if (!m_skipping) m_part.head = std::move(head);
+  m_skipping_response = BelongsToOtherRequest(head);
+  if (!m_skipping_response && !IsValidResponse(head)) return Fail(Reason::kBackendMalformed);
+  m_keep_alive_timeout = ParseKeepAliveTimeout(FindHeader(head.headers, "Keep-Alive"));
+  if (!m_skipping_response) m_part.head = std::move(head);
   m_head_parsed = true;
   m_state = State::kReading;
 }
 
-bool BackendConnection::IsAnswerToOther(const HttpResponseHead& head) const {
+bool BackendConnection::BelongsToOtherRequest(const HttpResponseHead& head) const {
   if (m_check.id_field.empty() || m_check.id.empty()) return false;
   const std::string_view id = FindHeader(head.headers, m_check.id_field);
   return !id.empty() && id != m_check.id;
 }
 
-bool BackendConnection::IsTrusted(const HttpResponseHead& head) const {
+bool BackendConnection::IsValidResponse(const HttpResponseHead& head) const {
   if (!IsSuccess(head.status)) return true;
   const bool needs_id = !m_check.id_field.empty() && !m_check.id.empty();
   if (needs_id && !HasHeader(head.headers, m_check.id_field)) return false;
-  if (m_check.mark_field.empty()) return true;
+  if (m_check.success_marker_field.empty()) return true;
   // Callers ask for no encoding, so an encoded body is not the one that the mark stands for.
-  return HasHeader(head.headers, m_check.mark_field) &&
+  return HasHeader(head.headers, m_check.success_marker_field) &&
          !HasHeader(head.headers, "Content-Encoding");
 }
 
-void BackendConnection::StartUnframedBody() {
-  if (m_unframed_descriptor >= 0) return;
-  m_unframed_descriptor = ::dup(static_cast<int>(m_socket.socketDescriptor()));
-  if (m_unframed_descriptor < 0) return Fail(Reason::kBackendClosed);
+void BackendConnection::StartCloseDelimitedBody() {
+  if (m_close_delimited_descriptor >= 0) return;
+  m_close_delimited_descriptor = ::dup(static_cast<int>(m_socket.socketDescriptor()));
+  if (m_close_delimited_descriptor < 0) return Fail(Reason::kBackendClosed);
   const QByteArray buffered = m_socket.readAll();
   m_socket.disconnect(this);
   m_socket.abort();  // Closes its own descriptor only.
-  m_unframed_notifier =
-      std::make_unique<QSocketNotifier>(m_unframed_descriptor, QSocketNotifier::Read);
-  connect(m_unframed_notifier.get(), &QSocketNotifier::activated, this,
-          &BackendConnection::ReadUnframedBody);
+  m_close_delimited_notifier =
+      std::make_unique<QSocketNotifier>(m_close_delimited_descriptor, QSocketNotifier::Read);
+  connect(m_close_delimited_notifier.get(), &QSocketNotifier::activated, this,
+          &BackendConnection::ReadCloseDelimitedBody);
   m_input.append(buffered.constData(), static_cast<std::size_t>(buffered.size()));
   if (!m_input.empty()) Parse();
 }
 
-void BackendConnection::ReadUnframedBody() {
-  std::array<char, kUnframedReadBytes> data{};
-  const ssize_t count = ::recv(m_unframed_descriptor, data.data(), data.size(), MSG_DONTWAIT);
+void BackendConnection::ReadCloseDelimitedBody() {
+  std::array<char, kCloseDelimitedReadBytes> data{};
+  const ssize_t count =
+      ::recv(m_close_delimited_descriptor, data.data(), data.size(), MSG_DONTWAIT);
   if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
   if (count < 0) return Fail(Reason::kBackendClosed);
   if (count > 0) {
@@ -217,30 +218,30 @@
   }
   boost::system::error_code error;
   m_parser->put_eof(error);
-  if (error || !m_parser->is_done() || m_skipping) return Fail(Reason::kBackendClosed);
+  if (error || !m_parser->is_done() || m_skipping_response) return Fail(Reason::kBackendClosed);
   Finish();
   EmitPart();
 }
 
-void BackendConnection::CloseUnframedBody() {
-  if (m_unframed_descriptor < 0) return;
-  m_unframed_notifier->setEnabled(false);
-  m_unframed_notifier.release()->deleteLater();
-  ::close(m_unframed_descriptor);
-  m_unframed_descriptor = -1;
+void BackendConnection::EndCloseDelimitedBody() {
+  if (m_close_delimited_descriptor < 0) return;
+  m_close_delimited_notifier->setEnabled(false);
+  m_close_delimited_notifier.release()->deleteLater();
+  ::close(m_close_delimited_descriptor);
+  m_close_delimited_descriptor = -1;
 }
 
 void BackendConnection::CollectBody() {
   if (!m_head_parsed) return;
-  if (m_skipping) return m_parser->get().body().clear();
+  if (m_skipping_response) return m_parser->get().body().clear();
   m_part.data += std::exchange(m_parser->get().body(), std::string());
 }
 
 void BackendConnection::EmitPart() {
   if (m_part.IsEmpty()) return;
-  AnswerPart part = std::exchange(m_part, AnswerPart());
+  ResponsePart part = std::exchange(m_part, ResponsePart());
   m_credit -= std::min(m_credit, part.data.size());
-  m_events.OnBackendPart(m_id, std::move(part), m_reusable);
+  m_events.OnBackendResponsePart(m_id, std::move(part), m_reusable);
 }
 
 void BackendConnection::Finish() {
@@ -248,7 +249,7 @@
   m_reusable = m_parser->keep_alive() && m_input.empty() &&
                m_socket.state() == QAbstractSocket::ConnectedState;
   m_parser.reset();
-  CloseUnframedBody();
+  EndCloseDelimitedBody();
   m_state = m_reusable ? State::kIdle : State::kClosed;
   m_idle_since = MonotonicNow();
   m_part.last = true;
@@ -258,13 +259,13 @@
   if (m_state == State::kClosed) return;
   m_timer.stop();
   m_state = State::kClosed;
-  m_part = AnswerPart();
-  CloseUnframedBody();
+  m_part = ResponsePart();
+  EndCloseDelimitedBody();
   m_socket.abort();
   m_events.OnBackendFailed(m_id, reason, m_written);
 }
 
-void BackendConnection::NoteClosed() {
+void BackendConnection::OnClosed() {
   if (m_state == State::kClosed) return;
   if (m_state == State::kIdle) {
     m_state = State::kClosed;
@@ -284,7 +285,7 @@
 void BackendConnection::Abort() {
   m_timer.stop();
   m_state = State::kClosed;
-  CloseUnframedBody();
+  EndCloseDelimitedBody();
   m_socket.abort();
 }
 
--- a/src/libs/http/backendconnection.h
+++ b/src/libs/http/backendconnection.h
@@ -22,7 +22,7 @@
 namespace damaskhollow {
 
 // What was read of an answer at one time. The first part has the head; a small answer is one part.
-struct AnswerPart {
+struct ResponsePart {
   std::optional<HttpResponseHead> head;
   std::string data;
   bool last = false;
@@ -31,10 +31,10 @@
 };
 
 // What an answer must show to belong to its request. Empty names are not checked.
-struct AnswerCheck {
-  std::string id_field;    // Repeats the request's id on its answer.
-  std::string id;          // Of the request; empty if it has none.
-  std::string mark_field;  // Each success bears it.
+struct ResponseCheck {
+  std::string id_field;              // Repeats the request's id on its answer.
+  std::string id;                    // Of the request; empty if it has none.
+  std::string success_marker_field;  // Each success bears it.
 };
 
 // Gets what happens on connections to the backend server. Members are called on the connection's
@@ -45,7 +45,7 @@
 
   // More of the answer. `reusable` says, on the last part, whether the connection can take another
   // request.
-  virtual void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) = 0;
+  virtual void OnBackendResponsePart(ConnectionId connection, ResponsePart part, bool reusable) = 0;
 
   // The request failed. `may_have_run` is false only if no byte of the request was handed to the
   // network.
@@ -101,7 +101,7 @@
   // An answer that bears the id of another request is skipped; a success that lacks id or mark
   // fails the request with kBackendMalformed.
   void Send(const HttpRequest& request, std::size_t credit, std::chrono::milliseconds timeout,
-            AnswerCheck check = {});
+            ResponseCheck check = {});
 
   // Allows `bytes` more of the answer's body.
   void AddCredit(std::size_t bytes);
@@ -113,28 +113,28 @@
   TimePoint IdleSince() const { return m_idle_since; }
 
   // How long the backend server keeps the idle connection, by its last answer; empty if unsaid.
-  std::optional<Duration> KeptIdleFor() const { return m_kept_idle_for; }
+  std::optional<Duration> KeepAliveTimeout() const { return m_keep_alive_timeout; }
 
  private:
   enum class State { kNew, kConnecting, kWaiting, kReading, kIdle, kClosed };
   using Parser = boost::beast::http::response_parser<CollectedBody>;
 
-  void Connected();
+  void OnConnected();
   void WriteRequest();
   void ReadMore();
   void Parse();
   void StartParser();
   void AcceptHead();
-  bool IsAnswerToOther(const HttpResponseHead& head) const;
-  bool IsTrusted(const HttpResponseHead& head) const;
-  void StartUnframedBody();
-  void ReadUnframedBody();
-  void CloseUnframedBody();
+  bool BelongsToOtherRequest(const HttpResponseHead& head) const;
+  bool IsValidResponse(const HttpResponseHead& head) const;
+  void StartCloseDelimitedBody();
+  void ReadCloseDelimitedBody();
+  void EndCloseDelimitedBody();
   void CollectBody();
   void EmitPart();
   void Finish();
   void Fail(Reason reason);
-  void NoteClosed();
+  void OnClosed();
 
   const ConnectionId m_id;
   const Endpoint m_server;
@@ -145,17 +145,17 @@
   std::string m_output;  // The request until it is written.
   std::string m_method;
   std::string m_input;
-  AnswerCheck m_check;
-  bool m_skipping = false;  // The answer being read belongs to another request.
-  std::optional<Duration> m_kept_idle_for;
+  ResponseCheck m_check;
+  bool m_skipping_response = false;  // The answer being read belongs to another request.
+  std::optional<Duration> m_keep_alive_timeout;
   // A body without length is read from the descriptor itself, as Qt does not tell a reset from an
   // orderly end. -1 unless one is being read.
-  int m_unframed_descriptor = -1;
-  std::unique_ptr<QSocketNotifier> m_unframed_notifier;
+  int m_close_delimited_descriptor = -1;
+  std::unique_ptr<QSocketNotifier> m_close_delimited_notifier;
   std::optional<Parser> m_parser;
   std::size_t m_credit = 0;
   bool m_head_parsed = false;
-  AnswerPart m_part;  // Read but not handed on yet.
+  ResponsePart m_part;  // Read but not handed on yet.
   bool m_reusable = false;
   bool m_written = false;
   TimePoint m_idle_since{};
--- a/src/libs/http/callconvention.h
+++ b/src/libs/http/callconvention.h
@@ -39,14 +39,14 @@
   // Set by backend servers.
   std::string drain = "Damaskhollow-Drain";  // 1: leaving.
   std::string call_id;                       // Names a request; its answer repeats it.
-  std::string answer_mark;  // Without it, a success is not the backend server's answer.
-  std::string not_run;      // The request was not run, whatever the status.
+  std::string success_marker;  // Without it, a success is not the backend server's answer.
+  std::string not_run;         // The request was not run, whatever the status.
   std::string load;
   std::optional<ServerLoad> (*decode_load)(std::string_view) = nullptr;
 
   // Whether the owner's word that a call was not run is a promise that callers read off the status.
   // Refusals of calls that were not run then bear 503, whatever the reason's own status.
-  bool status_is_promise = false;
+  bool status_guarantees_not_run = false;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/http/callerconnection.cpp
+++ b/src/libs/http/callerconnection.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxDiscardedBytes = 4UL * 1024UL * 1024UL;
 // An answer with others behind it is given as a whole up to this size, so that one that breaks off
 // does not take the connection and with it the others.
-constexpr std::size_t kMostHeldBytes = 64UL * 1024UL;
+constexpr std::size_t kMaxBufferedBytes = 64UL * 1024UL;
 
 bool IsSafeMethod(std::string_view method) {
   return method == "GET" || method == "HEAD" || method == "OPTIONS";
@@ -38,9 +38,9 @@
   m_socket.setSocketOption(QAbstractSocket::LowDelayOption, 1);
   m_timer.setSingleShot(true);
   connect(&m_socket, &QTcpSocket::readyRead, this, &CallerConnection::ReadMore);
-  connect(&m_socket, &QTcpSocket::bytesWritten, this, &CallerConnection::NoteBytesWritten);
-  connect(&m_socket, &QTcpSocket::disconnected, this, &CallerConnection::NoteGone);
-  connect(&m_timer, &QTimer::timeout, this, &CallerConnection::NoteTimeout);
+  connect(&m_socket, &QTcpSocket::bytesWritten, this, &CallerConnection::OnBytesWritten);
+  connect(&m_socket, &QTcpSocket::disconnected, this, &CallerConnection::OnDisconnected);
+  connect(&m_timer, &QTimer::timeout, this, &CallerConnection::OnTimeout);
   StartNextRequest();
 }
 
@@ -55,8 +55,8 @@
   m_parser->body_limit(boost::none);  // Checked here, as the limit depends on the head.
   m_request = HttpRequest();
   m_state = State::kReadingHead;
-  m_request_is_http_10 = m_request_closes = m_continue_due = false;
-  m_awaited_since = MonotonicNow();
+  m_request_is_http_10 = m_request_closes_connection = m_continue_due = false;
+  m_awaiting_head_since = MonotonicNow();
   m_timer.stop();
   if (m_exchanges.empty()) AwaitHead();
 }
@@ -72,7 +72,7 @@
     return;
   }
   const bool is_reading = m_state == State::kReadingHead || m_state == State::kReadingBody;
-  if (!is_reading || !MayReadAhead()) return;
+  if (!is_reading || !CanReadAhead()) return;
   const QByteArray data = m_socket.readAll();
   const bool is_start = m_state == State::kReadingHead && m_input.empty();
   if (is_start && !data.isEmpty()) m_timer.start(m_limits.header_timeout_ms);
@@ -82,17 +82,17 @@
   if (has_part && !m_timer.isActive()) m_timer.start(m_limits.header_timeout_ms);
 }
 
-bool CallerConnection::MayReadAhead() const {
+bool CallerConnection::CanReadAhead() const {
   if (m_exchanges.empty()) return true;
-  if (m_exchanges.size() >= m_limits.requests_at_once) return false;
+  if (m_exchanges.size() >= m_limits.max_pipelined_requests) return false;
   if (m_exchanges.back().is_http_10) return false;  // Its answer may end with the connection.
   // Behind an answer that is on its way, the next request waits: should that answer break off, the
   // connection closes.
   return IsSafeMethod(m_exchanges.back().method) && !m_exchanges.front().sent;
 }
 
-bool CallerConnection::MayHandOn(std::string_view method) const {
-  return m_exchanges.empty() || (IsSafeMethod(method) && MayReadAhead());
+bool CallerConnection::CanDispatch(std::string_view method) const {
+  return m_exchanges.empty() || (IsSafeMethod(method) && CanReadAhead());
 }
 
 void CallerConnection::Parse() {
@@ -118,7 +118,7 @@
     m_request.headers.push_back({std::string(field.name_string()), std::string(field.value())});
   }
   m_request_is_http_10 = message.version() < 11;
-  m_request_closes = !message.keep_alive();
+  m_request_closes_connection = !message.keep_alive();
   m_body_limit = m_events.BodyLimit(m_request);
   if (m_request.target.empty() || m_request.target.front() != '/') {
     return Reject(Reason::kMalformedRequest);
@@ -165,8 +165,8 @@
 
 void CallerConnection::AcceptRequest() {
   m_timer.stop();
-  if (!MayHandOn(m_request.method)) {
-    m_state = State::kHolding;
+  if (!CanDispatch(m_request.method)) {
+    m_state = State::kWaitingForTurn;
     return;
   }
   m_continue_due = false;
@@ -176,21 +176,21 @@
   exchange.method = request.method;
   const ExchangeId id{m_id, exchange.number};
   const std::size_t reserved = std::exchange(m_reserved, 0);
-  if (exchange.closes || m_closing) {
+  if (exchange.closes_connection || m_closing) {
     m_parser.reset();
     m_state = State::kStopped;
   } else {
     StartNextRequest();
   }
   m_events.OnRequest(id, std::move(request), reserved);
-  ReadOnLater();
+  ScheduleRead();
 }
 
 CallerConnection::Exchange& CallerConnection::AddExchange() {
   Exchange& exchange = m_exchanges.emplace_back();
   exchange.number = m_next_number++;
   exchange.is_http_10 = m_request_is_http_10;
-  exchange.closes = m_request_closes;
+  exchange.closes_connection = m_request_closes_connection;
   return exchange;
 }
 
@@ -202,7 +202,7 @@
   m_input.shrink_to_fit();
   Exchange& exchange = AddExchange();
   exchange.method = m_request.method;
-  exchange.closes = true;
+  exchange.closes_connection = true;
   m_state = State::kStopped;
   m_events.OnBadRequest({m_id, exchange.number}, reason);
 }
@@ -213,73 +213,74 @@
   return found == m_exchanges.end() || found->finished ? nullptr : &*found;
 }
 
-void CallerConnection::StartAnswer(std::uint64_t number, const HttpResponseHead& head) {
+void CallerConnection::StartResponse(std::uint64_t number, const HttpResponseHead& head) {
   Exchange* exchange = FindExchange(number);
   if (exchange == nullptr) return;
   // While the connection closes, nothing is read behind the last exchange.
   const bool is_last = number == m_exchanges.back().number;
-  if (m_closing && is_last) exchange->closes = true;
+  if (m_closing && is_last) exchange->closes_connection = true;
   const bool no_body = HasNoBody(exchange->method, head.status);
   exchange->started = true;
   exchange->has_body = !no_body;
   exchange->chunked = !no_body && !head.content_length && !exchange->is_http_10;
-  if (!no_body && !head.content_length && exchange->is_http_10) exchange->closes = true;
-  const AnswerFraming framing{exchange->chunked, !exchange->closes};
-  Give(*exchange, SerializeResponseHead(head, framing), false);
+  if (!no_body && !head.content_length && exchange->is_http_10) exchange->closes_connection = true;
+  const ResponseFraming framing{exchange->chunked, !exchange->closes_connection};
+  WriteOrBuffer(*exchange, SerializeResponseHead(head, framing), false);
 }
 
 void CallerConnection::SendBody(std::uint64_t number, std::string_view data) {
   Exchange* exchange = FindExchange(number);
   if (exchange == nullptr || data.empty() || !exchange->has_body) return;
-  if (!exchange->chunked) return Give(*exchange, data, true);
+  if (!exchange->chunked) return WriteOrBuffer(*exchange, data, true);
   // The body's bytes are counted apart from their framing, as each of them is a credit.
   const boost::asio::const_buffer buffer(data.data(), data.size());
   const std::string chunk = boost::beast::buffers_to_string(http::make_chunk(buffer));
   const std::size_t start = chunk.size() - data.size() - kChunkEnd.size();
-  Give(*exchange, std::string_view(chunk).substr(0, start), false);
-  Give(*exchange, data, true);
-  Give(*exchange, kChunkEnd, false);
+  WriteOrBuffer(*exchange, std::string_view(chunk).substr(0, start), false);
+  WriteOrBuffer(*exchange, data, true);
+  WriteOrBuffer(*exchange, kChunkEnd, false);
 }
 
-void CallerConnection::FinishAnswer(std::uint64_t number) {
+void CallerConnection::FinishResponse(std::uint64_t number) {
   Exchange* exchange = FindExchange(number);
   if (exchange == nullptr) return;
   if (exchange->chunked) {
-    Give(*exchange, boost::beast::buffers_to_string(http::make_chunk_last()), false);
+    WriteOrBuffer(*exchange, boost::beast::buffers_to_string(http::make_chunk_last()), false);
   }
   exchange->finished = true;
-  Advance();
+  FlushResponses();
 }
 
-bool CallerConnection::Retract(std::uint64_t number) {
+bool CallerConnection::DiscardUnsentResponse(std::uint64_t number) {
   Exchange* exchange = FindExchange(number);
   if (exchange == nullptr || exchange->sent) return false;
-  exchange->held.clear();
-  exchange->held_body = 0;
+  exchange->buffered.clear();
+  exchange->buffered_body = 0;
   exchange->started = exchange->chunked = exchange->has_body = false;
   return true;
 }
 
-void CallerConnection::Give(Exchange& exchange, std::string_view bytes, bool is_body) {
+void CallerConnection::WriteOrBuffer(Exchange& exchange, std::string_view bytes, bool is_body) {
   const bool is_first = exchange.number == m_exchanges.front().number;
-  const bool is_held = !is_first || (!exchange.sent && m_exchanges.size() > 1 &&
-                                     exchange.held.size() + bytes.size() <= kMostHeldBytes);
-  if (!is_held) {
-    WriteHeld(exchange);
+  const bool is_buffered =
+      !is_first || (!exchange.sent && m_exchanges.size() > 1 &&
+                    exchange.buffered.size() + bytes.size() <= kMaxBufferedBytes);
+  if (!is_buffered) {
+    WriteBuffered(exchange);
     exchange.sent = true;
     return Write(exchange.number, bytes, is_body);
   }
-  exchange.held += bytes;
-  if (is_body) exchange.held_body += bytes.size();
+  exchange.buffered += bytes;
+  if (is_body) exchange.buffered_body += bytes.size();
 }
 
-void CallerConnection::WriteHeld(Exchange& exchange) {
-  if (exchange.held.empty()) return;
+void CallerConnection::WriteBuffered(Exchange& exchange) {
+  if (exchange.buffered.empty()) return;
   exchange.sent = true;
-  const std::string held = std::exchange(exchange.held, std::string());
-  m_socket.write(held.data(), static_cast<qint64>(held.size()));
-  const std::size_t body = std::exchange(exchange.held_body, 0);
-  m_unsent.push_back({exchange.number, held.size() - body, false});
+  const std::string buffered = std::exchange(exchange.buffered, std::string());
+  m_socket.write(buffered.data(), static_cast<qint64>(buffered.size()));
+  const std::size_t body = std::exchange(exchange.buffered_body, 0);
+  m_unsent.push_back({exchange.number, buffered.size() - body, false});
   m_unsent.push_back({exchange.number, body, true});
 }
 
@@ -289,32 +290,33 @@
 }
 
 // Hands on what is due of the first answers and ends those that are whole.
-void CallerConnection::Advance() {
+void CallerConnection::FlushResponses() {
   while (!m_exchanges.empty() && m_exchanges.front().finished) {
-    WriteHeld(m_exchanges.front());
-    const bool closes = m_exchanges.front().closes;
+    WriteBuffered(m_exchanges.front());
+    const bool closes_connection = m_exchanges.front().closes_connection;
     m_exchanges.pop_front();
-    const bool is_last = m_closing && m_exchanges.empty() && m_state != State::kHolding;
-    if (closes || is_last) return Linger();
+    const bool is_last = m_closing && m_exchanges.empty() && m_state != State::kWaitingForTurn;
+    if (closes_connection || is_last) return Linger();
   }
   if (m_exchanges.empty()) {
     SendContinue();
     if (m_state == State::kReadingHead) {
-      m_awaited_since = MonotonicNow();
+      m_awaiting_head_since = MonotonicNow();
       AwaitHead();
     }
-  } else if (m_exchanges.size() == 1 || m_exchanges.front().held.size() > kMostHeldBytes) {
-    WriteHeld(m_exchanges.front());
+  } else if (m_exchanges.size() == 1 || m_exchanges.front().buffered.size() > kMaxBufferedBytes) {
+    WriteBuffered(m_exchanges.front());
   }
-  ReadOnLater();
+  ScheduleRead();
 }
 
 // From the event loop: a caller that pipelines thousands of requests must not nest as many calls.
-void CallerConnection::ReadOnLater() {
+void CallerConnection::ScheduleRead() {
   QMetaObject::invokeMethod(
       this,
       [this] {
-        if (m_state == State::kHolding && MayHandOn(m_request.method)) return AcceptRequest();
+        if (m_state == State::kWaitingForTurn && CanDispatch(m_request.method))
+          return AcceptRequest();
         ReadMore();
       },
       Qt::QueuedConnection);
@@ -331,7 +333,7 @@
   m_socket.readAll();
 }
 
-void CallerConnection::NoteBytesWritten(qint64 bytes) {
+void CallerConnection::OnBytesWritten(qint64 bytes) {
   if (m_state == State::kLingering && m_socket.bytesToWrite() == 0) {
     ::shutdown(static_cast<int>(m_socket.socketDescriptor()), SHUT_WR);
   }
@@ -348,13 +350,13 @@
   }
 }
 
-void CallerConnection::NoteTimeout() {
+void CallerConnection::OnTimeout() {
   if (m_state == State::kLingering || (m_state == State::kReadingHead && m_input.empty())) {
     m_socket.abort();
     return;
   }
   // What is not read now is not late.
-  if (!MayReadAhead()) return m_timer.start(m_limits.header_timeout_ms);
+  if (!CanReadAhead()) return m_timer.start(m_limits.header_timeout_ms);
   Reject(Reason::kRequestTimeout);
 }
 
@@ -375,19 +377,19 @@
   if (m_input.empty()) m_socket.disconnectFromHost();
 }
 
-void CallerConnection::CloseUnlessRead() {
-  if (AwaitedSince()) m_socket.abort();
+void CallerConnection::CloseIfAwaitingHead() {
+  if (AwaitingHeadSince()) m_socket.abort();
 }
 
-std::optional<TimePoint> CallerConnection::AwaitedSince() const {
+std::optional<TimePoint> CallerConnection::AwaitingHeadSince() const {
   if (m_state != State::kReadingHead || !m_exchanges.empty()) return std::nullopt;
-  return m_awaited_since;
+  return m_awaiting_head_since;
 }
 
-void CallerConnection::NoteGone() {
+void CallerConnection::OnDisconnected() {
   m_timer.stop();
   m_state = State::kClosed;
-  m_events.OnCallerGone(m_id);
+  m_events.OnCallerDisconnected(m_id);
 }
 
 }  // namespace damaskhollow
--- a/src/libs/http/callerconnection.h
+++ b/src/libs/http/callerconnection.h
@@ -53,7 +53,7 @@
 
   // The caller left, or the connection was closed. The connection may be deleted when this returns
   // to the event loop.
-  virtual void OnCallerGone(ConnectionId connection) = 0;
+  virtual void OnCallerDisconnected(ConnectionId connection) = 0;
 };
 
 struct CallerLimits {
@@ -63,7 +63,7 @@
   int idle_timeout_ms = 75000;
   // Requests that are handed on before the first of them has been answered. Only safe methods
   // (RFC 9110, 9.2.1) are; any other waits for the answers before it and holds back what follows.
-  std::size_t requests_at_once = 1;
+  std::size_t max_pipelined_requests = 1;
 };
 
 // The server side of one HTTP/1.1 connection. Answers go out in the order of the requests, whatever
@@ -76,20 +76,22 @@
   ~CallerConnection() override;
 
   // The oldest exchange without a whole answer; 0 if there is none.
-  std::uint64_t FirstDue() const { return m_exchanges.empty() ? 0 : m_exchanges.front().number; }
+  std::uint64_t OldestPendingExchange() const {
+    return m_exchanges.empty() ? 0 : m_exchanges.front().number;
+  }
 
   // Starts the answer to a request. This and the members below ignore exchanges that have ended.
-  void StartAnswer(std::uint64_t number, const HttpResponseHead& head);
+  void StartResponse(std::uint64_t number, const HttpResponseHead& head);
 
   // Adds to the answer's body.
   void SendBody(std::uint64_t number, std::string_view data);
 
   // Ends the answer.
-  void FinishAnswer(std::uint64_t number);
+  void FinishResponse(std::uint64_t number);
 
   // Takes back what was given of an answer, so that another can be started; false if a part of it
   // has been handed to the network.
-  bool Retract(std::uint64_t number);
+  bool DiscardUnsentResponse(std::uint64_t number);
 
   // Closes the connection so that the caller sees the answer as incomplete.
   void Abort();
@@ -98,17 +100,17 @@
   void CloseWhenIdle();
 
   // Closes the connection if the head of a request is awaited; a part of one is dropped, unread.
-  void CloseUnlessRead();
+  void CloseIfAwaitingHead();
 
   // Since when the head of a request has been awaited; empty once it has arrived whole.
-  std::optional<TimePoint> AwaitedSince() const;
+  std::optional<TimePoint> AwaitingHeadSince() const;
 
  private:
   enum class State {
     kReadingHead,
     kReadingBody,
-    kHolding,  // A whole request waits for the answers before it.
-    kStopped,  // Nothing more is read; the connection closes after the answers that are due.
+    kWaitingForTurn,  // A whole request waits for the answers before it.
+    kStopped,         // Nothing more is read; the connection closes after the answers that are due.
     kLingering,
     kClosed
   };
@@ -119,14 +121,14 @@
     std::uint64_t number = 0;
     std::string method;
     bool is_http_10 = false;
-    bool closes = false;  // The connection closes after the answer.
+    bool closes_connection = false;  // The connection closes after the answer.
     bool started = false;
     bool chunked = false;
     bool has_body = false;
     bool finished = false;
-    bool sent = false;          // A part of the answer has been handed to the network.
-    std::string held;           // Not handed on yet.
-    std::size_t held_body = 0;  // Bytes of body in it.
+    bool sent = false;              // A part of the answer has been handed to the network.
+    std::string buffered;           // Not handed on yet.
+    std::size_t buffered_body = 0;  // Bytes of body in it.
   };
 
   // Bytes that the socket has taken and not yet sent.
@@ -146,19 +148,19 @@
   void Reject(Reason reason);
   void StartNextRequest();
   void AwaitHead();
-  bool MayHandOn(std::string_view method) const;
-  bool MayReadAhead() const;
-  void ReadOnLater();
+  bool CanDispatch(std::string_view method) const;
+  bool CanReadAhead() const;
+  void ScheduleRead();
   void SendContinue();
   Exchange* FindExchange(std::uint64_t number);
-  void Give(Exchange& exchange, std::string_view bytes, bool is_body);
+  void WriteOrBuffer(Exchange& exchange, std::string_view bytes, bool is_body);
   void Write(std::uint64_t number, std::string_view bytes, bool is_body);
-  void WriteHeld(Exchange& exchange);
-  void Advance();
+  void WriteBuffered(Exchange& exchange);
+  void FlushResponses();
   void Linger();
-  void NoteBytesWritten(qint64 bytes);
-  void NoteTimeout();
-  void NoteGone();
+  void OnBytesWritten(qint64 bytes);
+  void OnTimeout();
+  void OnDisconnected();
   bool ReserveBody(std::size_t total_bytes);
 
   const ConnectionId m_id;
@@ -173,14 +175,14 @@
   HttpRequest m_request;
   std::size_t m_body_limit = 0;
   std::size_t m_reserved = 0;  // Of the body budget, for the request being read.
-  bool m_request_closes = false;
+  bool m_request_closes_connection = false;
   bool m_request_is_http_10 = false;
   bool m_continue_due = false;  // The caller waits for 100 Continue before it sends the body.
   std::uint64_t m_next_number = 1;
   std::deque<Exchange> m_exchanges;  // In the order of their numbers.
   std::deque<Segment> m_unsent;
   std::size_t m_discarded = 0;
-  TimePoint m_awaited_since{};
+  TimePoint m_awaiting_head_since{};
   bool m_closing = false;
 };
 
--- a/src/libs/http/message.cpp
+++ b/src/libs/http/message.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::string SerializeResponseHead(const HttpResponseHead& head, const AnswerFraming& framing) {
+std::string SerializeResponseHead(const HttpResponseHead& head, const ResponseFraming& framing) {
   namespace http = boost::beast::http;
   constexpr int kNoContent = 204;
   http::response_header<> message;
--- a/src/libs/http/message.h
+++ b/src/libs/http/message.h
@@ -32,14 +32,14 @@
 };
 
 // How the body of an answer is delimited and what becomes of the connection.
-struct AnswerFraming {
+struct ResponseFraming {
   bool chunked = false;
   bool keep_alive = false;
 };
 
 // The status line and header fields of an HTTP/1.1 answer, with the fields that the framing calls
 // for.
-std::string SerializeResponseHead(const HttpResponseHead& head, const AnswerFraming& framing);
+std::string SerializeResponseHead(const HttpResponseHead& head, const ResponseFraming& framing);
 
 // The value of the first field with this name, compared without case; empty when there is none.
 std::string_view FindHeader(std::span<const HttpHeader> headers, std::string_view name);
--- a/src/libs/ingress/ingressservice.cpp
+++ b/src/libs/ingress/ingressservice.cpp
@@ -13,12 +13,12 @@
 // A flood of other work may fill the connection limit; a quarter more is kept for the most urgent.
 constexpr std::size_t kUrgentReserveDivisor = 4;
 // The part of the limit that is freed at once, so that the search for the oldest connections pays.
-constexpr std::size_t kRoomDivisor = 16;
+constexpr std::size_t kCloseBatchDivisor = 16;
 // When a caller that found no connection free may come again.
-constexpr std::chrono::milliseconds kOverloadedReturn{1000};
+constexpr std::chrono::milliseconds kOverloadedRetryAfter{1000};
 
 // The call that an owner's message belongs to; 0 for messages that belong to none.
-std::uint64_t CallOf(const wire::Envelope& message) {
+std::uint64_t CallIdOf(const wire::Envelope& message) {
   switch (message.body_case()) {
     case wire::Envelope::kResponseChunk:
       return message.response_chunk().call_id();
@@ -64,11 +64,11 @@
 void IngressService::incomingConnection(qintptr descriptor) {
   const std::size_t connections = m_context.caller_connections.load();
   const std::size_t limit = m_context.max_caller_connections;
-  if (connections >= limit) MakeRoom();
+  if (connections >= limit) CloseWaitingConnections();
   if (connections >= limit + limit / kUrgentReserveDivisor) {
     m_context.metrics.CountRefusal(Reason::kIngressOverloaded);
     const ReasonAnswer answer = AnswerFor(Reason::kIngressOverloaded, Outcome::kNotRun,
-                                          m_context.convention, kOverloadedReturn);
+                                          m_context.convention, kOverloadedRetryAfter);
     auto* socket = new QTcpSocket(this);
     connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
     socket->setSocketDescriptor(descriptor);
@@ -81,15 +81,16 @@
   slot.thread->Post([shard = slot.shard.get(), descriptor] { shard->AddCaller(descriptor); });
 }
 
-void IngressService::MakeRoom() {
-  const std::size_t count = m_context.max_caller_connections / kRoomDivisor / m_slots.size() + 1;
+void IngressService::CloseWaitingConnections() {
+  const std::size_t count =
+      m_context.max_caller_connections / kCloseBatchDivisor / m_slots.size() + 1;
   for (Slot& slot : m_slots) {
-    slot.thread->Post([shard = slot.shard.get(), count] { shard->MakeRoom(count); });
+    slot.thread->Post([shard = slot.shard.get(), count] { shard->CloseWaitingConnections(count); });
   }
 }
 
 void IngressService::HandleOwnerMessage(const BackendServerId& owner, wire::Envelope message) {
-  const std::uint64_t call = CallOf(message);
+  const std::uint64_t call = CallIdOf(message);
   if (call == 0) return;
   Slot& slot = SlotOf(call);
   auto shared = std::make_shared<wire::Envelope>(std::move(message));
--- a/src/libs/ingress/ingressservice.h
+++ b/src/libs/ingress/ingressservice.h
@@ -49,7 +49,7 @@
   void incomingConnection(qintptr descriptor) override;
 
   // Has the shards close connections that wait for a request, as the limit is reached.
-  void MakeRoom();
+  void CloseWaitingConnections();
 
  private:
   struct Slot {
--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick{20};
+constexpr std::chrono::milliseconds kTickInterval{20};
 // How long a call waits for a server to become reachable, for instance while a silent link is
 // replaced.
-constexpr std::chrono::milliseconds kServerWait{1000};
+constexpr std::chrono::milliseconds kMaxServerWait{1000};
 // At the deadline the owner answers, or is asked by Cancel; its word needs this long to arrive,
 // also between regions.
 constexpr std::chrono::milliseconds kDeadlineGrace{200};
 // Owners asked for their load before a choice. Two more than two random ones are hardly better; the
 // third covers one that does not answer.
-constexpr std::size_t kServersAsked = 3;
+constexpr std::size_t kLoadQueryServers = 3;
 // Round trip inside a region and a probe of the backend server there.
-constexpr std::chrono::milliseconds kAskTime{15};
+constexpr std::chrono::milliseconds kLoadQueryTimeout{15};
 // Of one caller's connection. More than browsers have sent at once, and few enough that the answers
 // held for their turn stay small.
-constexpr std::size_t kRequestsAtOnce = 8;
+constexpr std::size_t kMaxPipelinedRequests = 8;
 constexpr std::size_t kDefaultBodyLimit = 1024UL * 1024UL;
 constexpr std::uint32_t kFirstErrorStatus = 500;
 static_assert(static_cast<int>(CallProgress::kNeverSeen) == wire::CALL_STATE_NEVER_SEEN &&
@@ -76,7 +76,7 @@
   const ConnectionId id{m_next_connection++};
   const std::shared_ptr<const Declaration> declaration = m_context.declaration.load();
   CallerLimits limits = declaration ? LimitsOf(declaration->caller_bounds) : CallerLimits{};
-  limits.requests_at_once = kRequestsAtOnce;
+  limits.max_pipelined_requests = kMaxPipelinedRequests;
   m_connections.emplace(
       id, std::make_unique<CallerConnection>(id, descriptor, limits, m_context.body_budget, *this));
 }
@@ -96,15 +96,15 @@
   call.log_id = LogIdOf(call.request, m_context.convention);
   m_log.NoteRequest(call.started);
   const std::shared_ptr<const Declaration> declaration = m_context.declaration.load();
-  if (!declaration) return AnswerReason(exchange, Reason::kNoConfiguration);
+  if (!declaration) return RespondWithReason(exchange, Reason::kNoConfiguration);
   Classification classification =
       ClassifyCall(*declaration, DescribeCall(call.request, m_context.convention));
   if (classification.refusal != Reason::kNone) {
-    return AnswerReason(exchange, classification.refusal);
+    return RespondWithReason(exchange, classification.refusal);
   }
-  if (IsCrowdedOut(classification.call_class)) {
+  if (ExceedsConnectionLimit(classification.call_class)) {
     m_connections.at(exchange.connection)->CloseWhenIdle();
-    return AnswerReason(exchange, Reason::kIngressOverloaded);
+    return RespondWithReason(exchange, Reason::kIngressOverloaded);
   }
   call.call_class = std::move(classification.call_class);
   if (const auto* route = classification.route) {
@@ -120,11 +120,11 @@
   call.deadline = call.started + call.call_class.deadline;
   call.digest = DigestOf(call.call_class.service, call.request);
   if (const Reason reason = m_context.crash_guard.Check(call.digest); reason != Reason::kNone) {
-    return AnswerReason(exchange, reason);
+    return RespondWithReason(exchange, reason);
   }
   m_budgets = declaration->budgets;
   m_retries.NoteFirstAttempt(call.call_class.service, m_budgets, call.started);
-  if (!m_timer.isActive()) m_timer.start(kTick);
+  if (!m_timer.isActive()) m_timer.start(kTickInterval);
   Route(exchange, call);
 }
 
@@ -148,25 +148,26 @@
   return request;
 }
 
-bool IngressShard::AskForLoad(ExchangeId exchange, PendingCall& call) {
-  const bool may_ask = m_context.convention.decode_load != nullptr &&
-                       call.call_class.request_id.empty() && call.attempts.empty();
-  if (!may_ask) return false;
+bool IngressShard::QueryLoad(ExchangeId exchange, PendingCall& call) {
+  const bool can_query = m_context.convention.decode_load != nullptr &&
+                         call.call_class.request_id.empty() && call.attempts.empty();
+  if (!can_query) return false;
   const std::vector<BackendServerId> servers = m_context.router.ServersToAsk(
-      RequestOf(call, call.call_class.may_cross_regions), kServersAsked);
+      RequestOf(call, call.call_class.may_cross_regions), kLoadQueryServers);
   if (servers.empty()) return false;
-  call.question = m_next_attempt++ * m_count + m_index;
-  call.unanswered = servers.size();
+  call.load_query_id = m_next_attempt++ * m_count + m_index;
+  call.pending_load_answers = servers.size();
   call.offers.clear();
-  m_questions[call.question] = exchange;
-  const std::uint64_t question = call.question;
-  QTimer::singleShot(kAskTime, &m_timer, [this, exchange, question] {
+  m_load_queries[call.load_query_id] = exchange;
+  const std::uint64_t load_query_id = call.load_query_id;
+  QTimer::singleShot(kLoadQueryTimeout, &m_timer, [this, exchange, load_query_id] {
     PendingCall* waiting = FindCall(exchange);
-    if (waiting != nullptr && waiting->question == question) EndQuestion(exchange, *waiting);
+    if (waiting != nullptr && waiting->load_query_id == load_query_id)
+      FinishLoadQuery(exchange, *waiting);
   });
   for (const BackendServerId& server : servers) {
     wire::Envelope message;
-    message.mutable_load_query()->set_call_id(question);
+    message.mutable_load_query()->set_call_id(load_query_id);
     message.mutable_load_query()->set_priority(call.call_class.priority.Value());
     m_context.messenger.Send(server, std::move(message));
   }
@@ -175,18 +176,18 @@
 
 void IngressShard::HandleLoadAnswer(const BackendServerId& owner, const wire::LoadAnswer& answer) {
   m_context.router.NoteState(owner, answer.state());
-  const auto found = m_questions.find(answer.call_id());
-  if (found == m_questions.end()) return;
+  const auto found = m_load_queries.find(answer.call_id());
+  if (found == m_load_queries.end()) return;
   const ExchangeId exchange = found->second;
   PendingCall& call = m_calls.at(exchange);
   call.offers.push_back({owner, Duration(static_cast<Duration::rep>(answer.expected_us()))});
-  if (--call.unanswered == 0) EndQuestion(exchange, call);
+  if (--call.pending_load_answers == 0) FinishLoadQuery(exchange, call);
 }
 
-void IngressShard::EndQuestion(ExchangeId exchange, PendingCall& call) {
-  m_questions.erase(std::exchange(call.question, 0));
+void IngressShard::FinishLoadQuery(ExchangeId exchange, PendingCall& call) {
+  m_load_queries.erase(std::exchange(call.load_query_id, 0));
   const TimePoint now = MonotonicNow();
-  if (call.deadline <= now) return AnswerReason(exchange, Reason::kDeadlineExceeded);
+  if (call.deadline <= now) return RespondWithReason(exchange, Reason::kDeadlineExceeded);
   const RoutingChoice choice =
       m_context.router.ChooseAmong(RequestOf(call, call.call_class.may_cross_regions), call.offers);
   RouteTo(exchange, call, choice, now);
@@ -194,8 +195,8 @@
 
 void IngressShard::Route(ExchangeId exchange, PendingCall& call) {
   const TimePoint now = MonotonicNow();
-  if (call.deadline <= now) return AnswerReason(exchange, Reason::kDeadlineExceeded);
-  if (call.question != 0 || AskForLoad(exchange, call)) return;
+  if (call.deadline <= now) return RespondWithReason(exchange, Reason::kDeadlineExceeded);
+  if (call.load_query_id != 0 || QueryLoad(exchange, call)) return;
   RouteTo(exchange, call, Choose(call, call.call_class.may_cross_regions), now);
 }
 
@@ -211,13 +212,13 @@
   const Reason reason = choice.refusal == Reason::kNone ? Reason::kLinkUnavailable : choice.refusal;
   if (!call.waiting) {
     call.waiting = true;
-    call.waiting_until = std::min<TimePoint>(call.deadline, now + kServerWait);
+    call.waiting_until = std::min<TimePoint>(call.deadline, now + kMaxServerWait);
   }
   // A call that was refused elsewhere is answered with that reason rather than with the lack of
   // another server. After the loss of a link it waits, as a fresh link may be up soon.
   const bool was_refused = call.last_reason != Reason::kNone && !IsLinkFault(call.last_reason);
-  if (was_refused) return AnswerReason(exchange, call.last_reason);
-  if (now >= call.waiting_until) AnswerReason(exchange, reason);
+  if (was_refused) return RespondWithReason(exchange, call.last_reason);
+  if (now >= call.waiting_until) RespondWithReason(exchange, reason);
 }
 
 void IngressShard::SendAttempt(ExchangeId exchange, PendingCall& call, const RoutingChoice& choice,
@@ -265,14 +266,14 @@
     case wire::Envelope::kRefused:
       m_context.router.NoteState(owner, message.refused().state());
       if (message.refused().request_id_not_run()) {
-        NoteRequestIdNotRun(CallId{message.refused().call_id()});
+        RecordRequestIdNotRun(CallId{message.refused().call_id()});
       }
       return HandleNotRun(CallId{message.refused().call_id()},
                           static_cast<Reason>(message.refused().reason()));
     case wire::Envelope::kCallFailed:
       m_context.router.NoteState(owner, message.call_failed().state());
-      return HandleUnknown(CallId{message.call_failed().call_id()},
-                           static_cast<Reason>(message.call_failed().reason()));
+      return HandleUnknownOutcome(CallId{message.call_failed().call_id()},
+                                  static_cast<Reason>(message.call_failed().reason()));
     case wire::Envelope::kLoadAnswer:
       return HandleLoadAnswer(owner, message.load_answer());
     case wire::Envelope::kStatusResult:
@@ -288,12 +289,12 @@
 
 bool IngressShard::StartRelay(CallId id, const Attempt& attempt, const wire::ResponseHead& head) {
   PendingCall& call = m_calls.at(attempt.exchange);
-  if (call.relayed.value != 0) return false;  // Another attempt of this call answers.
-  call.relayed = id;
+  if (call.relayed_attempt.value != 0) return false;  // Another attempt of this call answers.
+  call.relayed_attempt = id;
   CancelOthers(call, id);
   m_connections.at(attempt.exchange.connection)
-      ->StartAnswer(attempt.exchange.number,
-                    AnsweredHead(head, m_context.convention, attempt.server.Value()));
+      ->StartResponse(attempt.exchange.number,
+                      AnsweredHead(head, m_context.convention, attempt.server.Value()));
   return true;
 }
 
@@ -304,7 +305,7 @@
   const ExchangeId exchange = attempt->exchange;
   if (chunk.sequence() > attempt->next_sequence) {
     // While the link is in doubt, the owner is asked for what is missing.
-    if (!attempt->in_doubt) HandleUnknown(id, Reason::kAnswerTruncated);
+    if (!attempt->is_suspect) HandleUnknownOutcome(id, Reason::kAnswerTruncated);
     return;
   }
   if (chunk.has_head() && !StartRelay(id, *attempt, chunk.head())) return;
@@ -315,7 +316,7 @@
                              MonotonicNow() - attempt->sent);
   }
   ++attempt->next_sequence;
-  if (attempt->crosses_regions) NotePaidLinkBytes(chunk.ByteSizeLong());
+  if (attempt->crosses_regions) RecordPaidLinkBytes(chunk.ByteSizeLong());
   const AttemptResult result = attempt->is_error ? AttemptResult::kError : AttemptResult::kAnswered;
   CallerConnection& caller = *m_connections.at(exchange.connection);
   caller.SendBody(exchange.number, chunk.data());
@@ -331,15 +332,16 @@
   EndAttempt(id, result);
   CancelAttempts(call);
   EndCall(exchange);
-  caller.FinishAnswer(exchange.number);
+  caller.FinishResponse(exchange.number);
 }
 
-void IngressShard::NotePaidLinkBytes(std::size_t bytes) {
+void IngressShard::RecordPaidLinkBytes(std::size_t bytes) {
   m_context.metrics.Add(Metric::kCallPaidLinkBytes, bytes);
   m_context.router.NotePaidLinkBytes(bytes);
 }
 
-void IngressShard::AllowReturn(PendingCall& call, const BackendServerId& server, Reason reason) {
+void IngressShard::AllowRetryOnServer(PendingCall& call, const BackendServerId& server,
+                                      Reason reason) {
   // The next home of a request id decides whether it may run without the one that is cut off.
   if (!call.call_class.request_id.empty()) return;
   if (IsLinkFault(reason)) std::erase(call.tried, server);
@@ -350,12 +352,13 @@
   if (attempt == nullptr) return;
   const ExchangeId exchange = attempt->exchange;
   PendingCall& call = m_calls.at(exchange);
-  if (call.relayed == id) return HandleUnknown(id, reason);  // A part of its answer has been sent.
-  AllowReturn(call, attempt->server, reason);
+  if (call.relayed_attempt == id)
+    return HandleUnknownOutcome(id, reason);  // A part of its answer has been sent.
+  AllowRetryOnServer(call, attempt->server, reason);
   ++(ReachedServer(reason) ? call.arrivals : call.refusals);
   // The owner's memory of ended calls is limited, so a refusal this late proves nothing.
   if (MonotonicNow() > call.deadline + kDeadlineGrace) {
-    return HandleUnknown(id, Reason::kLinkSilent);
+    return HandleUnknownOutcome(id, Reason::kLinkSilent);
   }
   m_log.Failure("attempt_refused", call.log_id, reason)
       .With("server", attempt->server.Value())
@@ -366,26 +369,26 @@
   RetryOrAnswer(exchange, call, reason, true);
 }
 
-void IngressShard::HandleUnknown(CallId id, Reason reason) {
+void IngressShard::HandleUnknownOutcome(CallId id, Reason reason) {
   const Attempt* attempt = FindAttempt(id);
   if (attempt == nullptr) return;
   const ExchangeId exchange = attempt->exchange;
   PendingCall& call = m_calls.at(exchange);
-  AllowReturn(call, attempt->server, reason);
+  AllowRetryOnServer(call, attempt->server, reason);
   ++call.arrivals;
   m_log.Failure("attempt_failed", call.log_id, reason)
       .With("server", attempt->server.Value())
       .With("after_us", (MonotonicNow() - attempt->sent).count());
   EndAttempt(id, AttemptResult::kFailed);
   CallerConnection& caller = *m_connections.at(exchange.connection);
-  if (call.relayed == id && !caller.Retract(exchange.number)) {
+  if (call.relayed_attempt == id && !caller.DiscardUnsentResponse(exchange.number)) {
     m_context.metrics.CountRefusal(Reason::kAnswerTruncated);
     CancelAttempts(call);
     EndCall(exchange);
     return caller.Abort();
   }
-  if (call.relayed == id) call.relayed = CallId{};
-  call.doubt = reason;
+  if (call.relayed_attempt == id) call.relayed_attempt = CallId{};
+  call.unknown_outcome_reason = reason;
   RetryOrAnswer(exchange, call, reason, false);
 }
 
@@ -396,13 +399,13 @@
   failed.proved_not_run = proved_not_run;
   failed.idempotent = call.call_class.idempotent;
   failed.attempts = call.arrivals + call.attempts.size();
-  failed.most_attempts = MostArrivals(call);
+  failed.most_attempts = MaxArrivals(call);
   failed.refusals = call.refusals;
   failed.reached_server = !proved_not_run || ReachedServer(reason);
   return m_retries.DecideRetry(failed, m_budgets, MonotonicNow());
 }
 
-std::size_t IngressShard::MostArrivals(const PendingCall& call) {
+std::size_t IngressShard::MaxArrivals(const PendingCall& call) {
   return call.call_class.attempts > 0 ? call.call_class.attempts : kMaxAttempts;
 }
 
@@ -414,9 +417,9 @@
   if (decision == Reason::kRetryBudget) {
     // The caller learns why the call was refused; the counter shows that it was not tried again.
     m_context.metrics.CountRefusal(decision);
-    return AnswerReason(exchange, reason);
+    return RespondWithReason(exchange, reason);
   }
-  if (decision != Reason::kNone) return AnswerReason(exchange, decision);
+  if (decision != Reason::kNone) return RespondWithReason(exchange, decision);
   m_context.metrics.CountRetry(reason);
   m_log.Step("retry", call.log_id)
       .With("reason", InfoOf(reason).name)
@@ -432,20 +435,20 @@
 void IngressShard::HandleLinkDown(const BackendServerId& owner) {
   std::vector<ExchangeId> idempotent;
   for (auto& [id, attempt] : m_attempts) {
-    if (attempt.server != owner || attempt.in_doubt) continue;
-    attempt.in_doubt = true;
+    if (attempt.server != owner || attempt.is_suspect) continue;
+    attempt.is_suspect = true;
     if (m_calls.at(attempt.exchange).call_class.idempotent && attempt.next_sequence == 0) {
       idempotent.push_back(attempt.exchange);
     }
   }
-  for (const ExchangeId exchange : idempotent) RouteBeside(exchange);
+  for (const ExchangeId exchange : idempotent) RouteSpeculatively(exchange);
 }
 
-void IngressShard::RouteBeside(ExchangeId exchange) {
+void IngressShard::RouteSpeculatively(ExchangeId exchange) {
   PendingCall& call = m_calls.at(exchange);
   const TimePoint now = MonotonicNow();
-  const bool may_send = call.relayed.value == 0 && call.call_class.request_id.empty() &&
-                        call.arrivals + call.attempts.size() < MostArrivals(call) &&
+  const bool may_send = call.relayed_attempt.value == 0 && call.call_class.request_id.empty() &&
+                        call.arrivals + call.attempts.size() < MaxArrivals(call) &&
                         now < call.deadline;
   if (!may_send) return;
   const RoutingChoice choice = Choose(call, call.call_class.may_cross_regions);
@@ -458,7 +461,7 @@
 
 void IngressShard::HandleLinkUp(const BackendServerId& owner) {
   for (const auto& [id, attempt] : m_attempts) {
-    if (attempt.server != owner || !attempt.in_doubt) continue;
+    if (attempt.server != owner || !attempt.is_suspect) continue;
     m_context.messenger.Send(owner, StatusQueryFor(NameOf(id, attempt), attempt.next_sequence));
   }
 }
@@ -467,7 +470,7 @@
   const CallId id{status.call_id()};
   Attempt* attempt = FindAttempt(id);
   if (attempt == nullptr) return;
-  attempt->in_doubt = false;
+  attempt->is_suspect = false;
   switch (JudgeStatus(attempt->expiry.incarnation, Incarnation{status.state().incarnation()},
                       static_cast<CallProgress>(status.call_state()), status.answer_follows())) {
     case AttemptVerdict::kWait:
@@ -477,9 +480,9 @@
       std::erase(m_calls.at(attempt->exchange).tried, attempt->server);
       return HandleNotRun(id, Reason::kLinkUnavailable);
     case AttemptVerdict::kUnknown:
-      return HandleUnknown(id, Reason::kLinkSilent);
+      return HandleUnknownOutcome(id, Reason::kLinkSilent);
     case AttemptVerdict::kUnknownOwnerRestarted:
-      return HandleUnknown(id, Reason::kOwnerRestarted);
+      return HandleUnknownOutcome(id, Reason::kOwnerRestarted);
   }
 }
 
@@ -491,11 +494,11 @@
     case Proof::kNotRun:
       return HandleNotRun(id, Reason::kQueueExpired);
     case Proof::kPending:
-      return HandleUnknown(id, Reason::kBackendTimeout);
+      return HandleUnknownOutcome(id, Reason::kBackendTimeout);
     case Proof::kDone:
       return;  // Its answer or failure is on the way.
     case Proof::kNone:
-      return HandleUnknown(id, Reason::kOwnerRestarted);
+      return HandleUnknownOutcome(id, Reason::kOwnerRestarted);
   }
 }
 
@@ -523,13 +526,13 @@
   return AttemptName{id, m_context.identity.incarnation, attempt.expiry};
 }
 
-Reason IngressShard::ProvedReason(const PendingCall& call, Reason reason) {
+Reason IngressShard::ReportableReason(const PendingCall& call, Reason reason) {
   if (InfoOf(reason).outcome != Outcome::kNotRun) return reason;
-  if (call.doubt != Reason::kNone) return call.doubt;
+  if (call.unknown_outcome_reason != Reason::kNone) return call.unknown_outcome_reason;
   return call.attempts.empty() ? reason : Reason::kLinkSilent;
 }
 
-Outcome IngressShard::ProvedOutcome(const PendingCall& call, Reason reason) {
+Outcome IngressShard::ReportableOutcome(const PendingCall& call, Reason reason) {
   const ReasonInfo& info = InfoOf(reason);
   const bool has_id = !call.call_class.request_id.empty();
   // An invalid request is refused at each send, so that no earlier one can have run.
@@ -538,18 +541,18 @@
   return info.outcome == Outcome::kNotRun && lacks_proof ? Outcome::kUnknown : info.outcome;
 }
 
-void IngressShard::NoteRequestIdNotRun(CallId id) {
+void IngressShard::RecordRequestIdNotRun(CallId id) {
   const Attempt* attempt = FindAttempt(id);
   if (attempt != nullptr) m_calls.at(attempt->exchange).request_id_not_run = true;
 }
 
-void IngressShard::AnswerReason(ExchangeId exchange, Reason reason) {
+void IngressShard::RespondWithReason(ExchangeId exchange, Reason reason) {
   Outcome outcome = InfoOf(reason).outcome;
   std::string log_id = "-";
   Duration elapsed{};
   if (PendingCall* call = FindCall(exchange); call != nullptr) {
-    reason = ProvedReason(*call, reason);
-    outcome = ProvedOutcome(*call, reason);
+    reason = ReportableReason(*call, reason);
+    outcome = ReportableOutcome(*call, reason);
     log_id = call->log_id;
     elapsed = MonotonicNow() - call->started;
     CancelAttempts(*call);
@@ -564,36 +567,36 @@
       .With("version", static_cast<std::int64_t>(m_context.version.load()))
       .With("total_us", elapsed.count());
   CallerConnection& caller = *m_connections.at(exchange.connection);
-  caller.StartAnswer(exchange.number, answer.head);
+  caller.StartResponse(exchange.number, answer.head);
   caller.SendBody(exchange.number, answer.body);
-  caller.FinishAnswer(exchange.number);
+  caller.FinishResponse(exchange.number);
 }
 
 void IngressShard::EndCall(ExchangeId exchange) {
   const auto found = m_calls.find(exchange);
   if (found == m_calls.end()) return;
   m_context.body_budget.Release(found->second.body_bytes);
-  m_questions.erase(found->second.question);
+  m_load_queries.erase(found->second.load_query_id);
   m_calls.erase(found);
 }
 
 void IngressShard::OnBadRequest(ExchangeId exchange, Reason reason) {
-  AnswerReason(exchange, reason);
+  RespondWithReason(exchange, reason);
 }
 
 void IngressShard::OnBodySent(ExchangeId exchange, std::size_t bytes) {
   const PendingCall* call = FindCall(exchange);
-  if (call == nullptr || call->relayed.value == 0) return;
-  const Attempt* attempt = FindAttempt(call->relayed);
+  if (call == nullptr || call->relayed_attempt.value == 0) return;
+  const Attempt* attempt = FindAttempt(call->relayed_attempt);
   if (attempt == nullptr) return;
   wire::Envelope message;
-  message.mutable_credit()->set_call_id(call->relayed.value);
+  message.mutable_credit()->set_call_id(call->relayed_attempt.value);
   message.mutable_credit()->set_bytes(bytes);
   message.mutable_credit()->set_ingress_incarnation(m_context.identity.incarnation.value);
   m_context.messenger.Send(attempt->server, std::move(message));
 }
 
-void IngressShard::OnCallerGone(ConnectionId connection) {
+void IngressShard::OnCallerDisconnected(ConnectionId connection) {
   std::vector<ExchangeId> exchanges;
   for (auto entry = m_calls.lower_bound({connection, 0});
        entry != m_calls.end() && entry->first.connection == connection; ++entry) {
@@ -614,22 +617,23 @@
   m_context.caller_connections.fetch_sub(1);
 }
 
-bool IngressShard::IsCrowdedOut(const CallClass& call_class) const {
+bool IngressShard::ExceedsConnectionLimit(const CallClass& call_class) const {
   return call_class.priority_index > 0 &&
          m_context.caller_connections.load() > m_context.max_caller_connections;
 }
 
-void IngressShard::MakeRoom(std::size_t count) {
+void IngressShard::CloseWaitingConnections(std::size_t count) {
   if (m_context.caller_connections.load() < m_context.max_caller_connections) return;
-  std::vector<std::pair<TimePoint, ConnectionId>> unread;
+  std::vector<std::pair<TimePoint, ConnectionId>> awaiting_head;
   for (const auto& [id, connection] : m_connections) {
-    if (const auto since = connection->AwaitedSince()) unread.emplace_back(*since, id);
+    if (const auto since = connection->AwaitingHeadSince()) awaiting_head.emplace_back(*since, id);
   }
-  const auto end = unread.begin() + static_cast<std::ptrdiff_t>(std::min(count, unread.size()));
-  std::partial_sort(unread.begin(), end, unread.end());
-  for (auto entry = unread.begin(); entry != end; ++entry) {
+  const auto end =
+      awaiting_head.begin() + static_cast<std::ptrdiff_t>(std::min(count, awaiting_head.size()));
+  std::partial_sort(awaiting_head.begin(), end, awaiting_head.end());
+  for (auto entry = awaiting_head.begin(); entry != end; ++entry) {
     m_context.metrics.Add(Metric::kUnreadConnectionsClosed);
-    m_connections.at(entry->second)->CloseUnlessRead();
+    m_connections.at(entry->second)->CloseIfAwaitingHead();
   }
 }
 
@@ -658,8 +662,9 @@
   std::vector<ExchangeId> slow;
   for (const auto& [exchange, call] : m_calls) {
     const bool may_hedge = call.call_class.idempotent && call.call_class.request_id.empty() &&
-                           !call.hedged && call.attempts.size() == 1 && call.relayed.value == 0 &&
-                           call.arrivals + 1 < MostArrivals(call) && now < call.deadline;
+                           !call.hedged && call.attempts.size() == 1 &&
+                           call.relayed_attempt.value == 0 &&
+                           call.arrivals + 1 < MaxArrivals(call) && now < call.deadline;
     if (!may_hedge) continue;
     const std::optional<Duration> delay = m_retries.HedgeDelay(call.call_class.service);
     if (delay && now - m_attempts.at(call.attempts.front()).sent >= *delay) {
@@ -694,11 +699,12 @@
 
 void IngressShard::CheckDeadline(ExchangeId exchange, PendingCall& call, TimePoint now) {
   if (now > call.deadline + kDeadlineGrace) {
-    if (call.relayed.value != 0) return HandleUnknown(call.relayed, Reason::kAnswerTruncated);
-    return AnswerReason(exchange, Reason::kLinkSilent);
+    if (call.relayed_attempt.value != 0)
+      return HandleUnknownOutcome(call.relayed_attempt, Reason::kAnswerTruncated);
+    return RespondWithReason(exchange, Reason::kLinkSilent);
   }
-  if (call.asked_at_deadline || call.relayed.value != 0) return;
-  call.asked_at_deadline = true;
+  if (call.cancelled_at_deadline || call.relayed_attempt.value != 0) return;
+  call.cancelled_at_deadline = true;
   for (const CallId id : call.attempts) {
     const Attempt& attempt = m_attempts.at(id);
     m_context.messenger.Send(attempt.server, CancelFor(NameOf(id, attempt)));
--- a/src/libs/ingress/ingressshard.h
+++ b/src/libs/ingress/ingressshard.h
@@ -70,13 +70,13 @@
 
   // Closes up to `count` connections that have not sent the whole head of a request, those that
   // have been awaited for longest first, if the node holds as many connections as it may.
-  void MakeRoom(std::size_t count);
+  void CloseWaitingConnections(std::size_t count);
 
   std::size_t BodyLimit(const HttpRequest& head) const override;
   void OnRequest(ExchangeId exchange, HttpRequest request, std::size_t body_bytes) override;
   void OnBadRequest(ExchangeId exchange, Reason reason) override;
   void OnBodySent(ExchangeId exchange, std::size_t bytes) override;
-  void OnCallerGone(ConnectionId connection) override;
+  void OnCallerDisconnected(ConnectionId connection) override;
 
  private:
   // A call from its complete request to the end of its answer.
@@ -93,16 +93,16 @@
     std::size_t refusals = 0;         // Attempts that owners refused before that.
     std::vector<CallId> attempts;     // Those that still run.
     bool request_id_not_run = false;  // A home says that no send of the request id has run.
-    CallId relayed;                   // The attempt whose answer goes to the caller; 0 for none.
-    std::uint64_t question = 0;       // Names the load queries that are out; 0 for none.
-    std::size_t unanswered = 0;       // Of them.
+    CallId relayed_attempt;           // The attempt whose answer goes to the caller; 0 for none.
+    std::uint64_t load_query_id = 0;  // Names the load queries that are out; 0 for none.
+    std::size_t pending_load_answers = 0;  // Of them.
     std::vector<LoadOffer> offers;
     bool waiting = false;  // For a server that can take it.
     TimePoint waiting_until{};
     bool hedged = false;
-    bool asked_at_deadline = false;  // Whether its owners were sent a Cancel at the deadline.
+    bool cancelled_at_deadline = false;  // Whether its owners were sent a Cancel at the deadline.
     Reason last_reason = Reason::kNone;
-    Reason doubt = Reason::kNone;  // Why an ended attempt may have run.
+    Reason unknown_outcome_reason = Reason::kNone;  // Why an ended attempt may have run.
   };
 
   // One sending of a call to an owner.
@@ -112,42 +112,42 @@
     ExpiryStamp expiry;
     TimePoint sent{};
     std::uint32_t next_sequence = 0;
-    bool in_doubt = false;  // Its link went silent.
+    bool is_suspect = false;  // Its link went silent.
     bool crosses_regions = false;
     std::uint32_t status = 0;
     bool is_error = false;  // The answer has a status of 500 or above.
   };
 
   // Whether the call is refused because its node holds too many caller connections.
-  bool IsCrowdedOut(const CallClass& call_class) const;
+  bool ExceedsConnectionLimit(const CallClass& call_class) const;
 
   void Route(ExchangeId exchange, PendingCall& call);
 
   // Asks near owners for their load; false if the choice is to be made without.
-  bool AskForLoad(ExchangeId exchange, PendingCall& call);
+  bool QueryLoad(ExchangeId exchange, PendingCall& call);
   void HandleLoadAnswer(const BackendServerId& owner, const wire::LoadAnswer& answer);
-  void EndQuestion(ExchangeId exchange, PendingCall& call);
+  void FinishLoadQuery(ExchangeId exchange, PendingCall& call);
   void RouteTo(ExchangeId exchange, PendingCall& call, const RoutingChoice& choice, TimePoint now);
 
   // Sends an idempotent call to another server while an attempt is in doubt, so that it does not
   // wait for the new link. The first answer counts.
-  void RouteBeside(ExchangeId exchange);
+  void RouteSpeculatively(ExchangeId exchange);
 
   void SendAttempt(ExchangeId exchange, PendingCall& call, const RoutingChoice& choice,
                    const ExpiryStamp& expiry);
   bool StartRelay(CallId id, const Attempt& attempt, const wire::ResponseHead& head);
-  void NotePaidLinkBytes(std::size_t bytes);
+  void RecordPaidLinkBytes(std::size_t bytes);
   void HandleChunk(const wire::ResponseChunk& chunk);
   // Lets a call try a server again whose link was at fault.
-  static void AllowReturn(PendingCall& call, const BackendServerId& server, Reason reason);
+  static void AllowRetryOnServer(PendingCall& call, const BackendServerId& server, Reason reason);
   void HandleNotRun(CallId attempt, Reason reason);
-  void HandleUnknown(CallId attempt, Reason reason);
+  void HandleUnknownOutcome(CallId attempt, Reason reason);
   void HandleStatus(const wire::StatusResult& status);
   void HandleCancelResult(const wire::CancelResult& cancelled);
 
   // kNone if the call may be sent again, which uses up budget; otherwise the reason to answer with.
   Reason DecideRetry(const PendingCall& call, Reason reason, bool proved_not_run);
-  static std::size_t MostArrivals(const PendingCall& call);
+  static std::size_t MaxArrivals(const PendingCall& call);
   void RetryOrAnswer(ExchangeId exchange, PendingCall& call, Reason reason, bool proved_not_run);
   void SendHedge(ExchangeId exchange, PendingCall& call, TimePoint now);
 
@@ -161,13 +161,13 @@
 
   // The reason that may be given to the caller: one that says not-run only if that is proved for
   // all attempts.
-  static Reason ProvedReason(const PendingCall& call, Reason reason);
+  static Reason ReportableReason(const PendingCall& call, Reason reason);
 
   // What the caller may conclude. For a call with a request id, not-run stands for all its sends,
   // so it needs the word of a home that accepted the id.
-  static Outcome ProvedOutcome(const PendingCall& call, Reason reason);
-  void NoteRequestIdNotRun(CallId id);
-  void AnswerReason(ExchangeId exchange, Reason reason);
+  static Outcome ReportableOutcome(const PendingCall& call, Reason reason);
+  void RecordRequestIdNotRun(CallId id);
+  void RespondWithReason(ExchangeId exchange, Reason reason);
   void EndCall(ExchangeId exchange);
   void Tick();
   void CheckHedges(TimePoint now);
@@ -184,7 +184,7 @@
   std::unordered_map<ConnectionId, std::unique_ptr<CallerConnection>> m_connections;
   std::map<ExchangeId, PendingCall> m_calls;
   std::unordered_map<CallId, Attempt> m_attempts;
-  std::unordered_map<std::uint64_t, ExchangeId> m_questions;
+  std::unordered_map<std::uint64_t, ExchangeId> m_load_queries;
   RetryPolicy m_retries;  // Its budgets are those of this shard's part of the calls.
   Budgets m_budgets;      // Of the declaration that the last call came under.
   SplitPicker m_splits;
--- a/src/libs/owner/backendpool.cpp
+++ b/src/libs/owner/backendpool.cpp
@@ -58,7 +58,7 @@
     m_connections.clear();
   }
 
-  void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) override {
+  void OnBackendResponsePart(ConnectionId connection, ResponsePart part, bool reusable) override {
     if (!part.last) return m_answers.OnAnswerPart(m_calls.at(connection), std::move(part));
     const OwnedCallId call = Forget(connection);
     if (reusable) {
@@ -89,7 +89,7 @@
       const BackendConnection& connection = *m_connections.at(id);
       const Duration idle = now - connection.IdleSince();
       Duration longest = idempotent ? Duration(kLongestIdle) : Duration(kFreshIdle);
-      if (const std::optional<Duration> kept = connection.KeptIdleFor()) {
+      if (const std::optional<Duration> kept = connection.KeepAliveTimeout()) {
         longest = std::min<Duration>(longest, *kept - kKeepAliveMargin);
       }
       if (idle < longest) return id;
--- a/src/libs/owner/backendpool.h
+++ b/src/libs/owner/backendpool.h
@@ -22,7 +22,7 @@
  public:
   virtual ~BackendAnswers() = default;
 
-  virtual void OnAnswerPart(OwnedCallId call, AnswerPart part) = 0;
+  virtual void OnAnswerPart(OwnedCallId call, ResponsePart part) = 0;
   virtual void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) = 0;
 };
 
@@ -32,7 +32,7 @@
   std::size_t credit = 0;  // Bytes of body that may be sent on before AddCredit.
   std::chrono::milliseconds timeout{};
   bool idempotent = false;
-  AnswerCheck check;
+  ResponseCheck check;
 };
 
 // The connections to the backend server, spread over the worker threads. Commands may be called
--- a/src/libs/owner/loadprobe.cpp
+++ b/src/libs/owner/loadprobe.cpp
@@ -53,7 +53,7 @@
   m_connection->Send(request, kProbeBodyBytes, kProbeTimeout);
 }
 
-void LoadProbe::OnBackendPart(ConnectionId, AnswerPart part, bool reusable) {
+void LoadProbe::OnBackendResponsePart(ConnectionId, ResponsePart part, bool reusable) {
   if (part.head) m_load = std::string(FindHeader(part.head->headers, m_convention.load));
   if (!part.last) return;
   m_is_running = false;
--- a/src/libs/owner/loadprobe.h
+++ b/src/libs/owner/loadprobe.h
@@ -29,7 +29,7 @@
   void Request();
 
  private:
-  void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) override;
+  void OnBackendResponsePart(ConnectionId connection, ResponsePart part, bool reusable) override;
   void OnBackendFailed(ConnectionId connection, Reason reason, bool may_have_run) override;
   void OnBackendIdleClosed(ConnectionId connection) override;
   void Start();
--- a/src/libs/owner/ownerservice.cpp
+++ b/src/libs/owner/ownerservice.cpp
@@ -262,7 +262,7 @@
 }
 
 void OwnerService::Replay(OwnedCallId id, OwnedCall& call, const KeptRequestAnswer& answer) {
-  AnswerPart part;
+  ResponsePart part;
   part.data = answer.body;
   part.last = true;
   wire::ResponseHead head;
@@ -307,7 +307,7 @@
   request.idempotent = call.request.idempotent();
   request.check.id_field = m_convention.call_id;
   request.check.id = FindHeader(request.request.headers, m_convention.call_id);
-  request.check.mark_field = m_convention.answer_mark;
+  request.check.success_marker_field = m_convention.success_marker;
   call.request.clear_body();
   m_metrics.Add(Metric::kCallsDispatched);
   m_pool->Run(id, std::move(request));
@@ -419,7 +419,7 @@
   m_calls.RemoveRefused(id, MonotonicNow());
 }
 
-void OwnerService::OnAnswerPart(OwnedCallId id, AnswerPart part) {
+void OwnerService::OnAnswerPart(OwnedCallId id, ResponsePart part) {
   const std::lock_guard lock(m_lock);
   OwnedCall* call = m_calls.Find(id);
   if (call == nullptr) return;
@@ -480,7 +480,7 @@
   LogEvent(LogPart::kOwner, LogLevel::kInfo, leaving ? "own_server_leaving" : "own_server_back");
 }
 
-void OwnerService::SendPart(OwnedCallId id, OwnedCall& call, AnswerPart part,
+void OwnerService::SendPart(OwnedCallId id, OwnedCall& call, ResponsePart part,
                             const wire::ResponseHead* replayed_head) {
   wire::Envelope message;
   wire::ResponseChunk& chunk = *message.mutable_response_chunk();
--- a/src/libs/owner/ownerservice.h
+++ b/src/libs/owner/ownerservice.h
@@ -87,7 +87,7 @@
   // Whether no call is queued or running.
   bool IsIdle() const;
 
-  void OnAnswerPart(OwnedCallId call, AnswerPart part) override;
+  void OnAnswerPart(OwnedCallId call, ResponsePart part) override;
   void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) override;
 
  private:
@@ -130,7 +130,7 @@
   // address since they arrived.
   void RefuseMisplaced();
   // `replayed_head` stands for the part's own head if it is not null.
-  void SendPart(OwnedCallId id, OwnedCall& call, AnswerPart part,
+  void SendPart(OwnedCallId id, OwnedCall& call, ResponsePart part,
                 const wire::ResponseHead* replayed_head);
   void FinishAnswered(OwnedCallId id, OwnedCall& call);
   void Finish(OwnedCallId id, SlotResult result);
--- a/tests/auto/http/tst_answerfuzz.cpp
+++ b/tests/auto/http/tst_answerfuzz.cpp
@@ -18,19 +18,19 @@
 using test::CollectedAnswer;
 using test::ScriptedServer;
 
-constexpr std::size_t kMostBodyBytes = 3000;
-constexpr std::size_t kMostPieces = 5;
-constexpr std::size_t kMostLateAnswers = 2;
+constexpr std::size_t kMaxBodyBytes = 3000;
+constexpr std::size_t kMaxPieces = 5;
+constexpr std::size_t kMaxLateResponses = 2;
 constexpr int kRoundsPerSeed = 60;
 
 enum class Framing { kLength, kChunks, kNone };
 constexpr std::array kFramings{Framing::kLength, Framing::kChunks, Framing::kNone};
 
 // What is wrong with the bytes that a server sends.
-enum class Damage { kNone, kCutShort, kSpoiledHead, kBytesBehind };
+enum class Damage { kNone, kTruncated, kCorruptHead, kTrailingBytes };
 
 std::string RandomBody(RandomSource& random) {
-  std::string body(random.Below(kMostBodyBytes + 1), ' ');
+  std::string body(random.Below(kMaxBodyBytes + 1), ' ');
   for (char& byte : body) byte = static_cast<char>(random.Below(256));
   return body;
 }
@@ -51,8 +51,8 @@
   return "HTTP/1.1 200 OK\r\nRequest-Id: " + std::string(id) + "\r\nSeal: s\r\n";
 }
 
-std::string Answer(RandomSource& random, std::string_view id, Framing framing,
-                   std::string_view body) {
+std::string MakeResponse(RandomSource& random, std::string_view id, Framing framing,
+                         std::string_view body) {
   switch (framing) {
     case Framing::kLength:
       return Head(id) + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
@@ -67,7 +67,7 @@
 
 std::vector<std::string> Split(RandomSource& random, std::string_view bytes) {
   std::vector<std::string> pieces;
-  while (!bytes.empty() && pieces.size() + 1 < kMostPieces) {
+  while (!bytes.empty() && pieces.size() + 1 < kMaxPieces) {
     const std::size_t size = 1 + random.Below(bytes.size());
     pieces.emplace_back(bytes.substr(0, size));
     bytes.remove_prefix(size);
@@ -85,11 +85,11 @@
 constexpr std::array kRows{
     FuzzRow{"whole, 1", Damage::kNone, 1},
     FuzzRow{"whole, 2", Damage::kNone, 2},
-    FuzzRow{"cut short, 3", Damage::kCutShort, 3},
-    FuzzRow{"cut short, 4", Damage::kCutShort, 4},
-    FuzzRow{"spoiled head, 5", Damage::kSpoiledHead, 5},
-    FuzzRow{"spoiled head, 6", Damage::kSpoiledHead, 6},
-    FuzzRow{"bytes behind, 7", Damage::kBytesBehind, 7},
+    FuzzRow{"cut short, 3", Damage::kTruncated, 3},
+    FuzzRow{"cut short, 4", Damage::kTruncated, 4},
+    FuzzRow{"spoiled head, 5", Damage::kCorruptHead, 5},
+    FuzzRow{"spoiled head, 6", Damage::kCorruptHead, 6},
+    FuzzRow{"bytes behind, 7", Damage::kTrailingBytes, 7},
 };
 
 // One faulty server's bytes and what may become of them.
@@ -101,23 +101,23 @@
 
 Script MakeScript(RandomSource& random, Damage damage) {
   Script script;
-  for (std::size_t late = random.Below(kMostLateAnswers + 1); late > 0; --late) {
+  for (std::size_t late = random.Below(kMaxLateResponses + 1); late > 0; --late) {
     const Framing framing = random.Below(2) == 0 ? Framing::kLength : Framing::kChunks;
-    script.bytes += Answer(random, "other", framing, RandomBody(random));
+    script.bytes += MakeResponse(random, "other", framing, RandomBody(random));
   }
   Framing framing = kFramings[random.Below(kFramings.size())];
   // What follows an answer without length belongs to its body.
-  if (damage == Damage::kBytesBehind && framing == Framing::kNone) framing = Framing::kLength;
+  if (damage == Damage::kTrailingBytes && framing == Framing::kNone) framing = Framing::kLength;
   script.own_body = RandomBody(random);
-  std::string own = Answer(random, "mine", framing, script.own_body);
-  if (damage == Damage::kCutShort) {
+  std::string own = MakeResponse(random, "mine", framing, script.own_body);
+  if (damage == Damage::kTruncated) {
     own.resize(random.Below(own.size()));
     // An orderly close ends an answer without length, wherever it comes.
     if (framing == Framing::kNone) script.end = ScriptedServer::End::kReset;
-  } else if (damage == Damage::kSpoiledHead) {
+  } else if (damage == Damage::kCorruptHead) {
     own[random.Below(Head("mine").size())] = static_cast<char>(random.Below(256));
-  } else if (damage == Damage::kBytesBehind) {
-    own += Answer(random, "other", Framing::kLength, RandomBody(random));
+  } else if (damage == Damage::kTrailingBytes) {
+    own += MakeResponse(random, "other", Framing::kLength, RandomBody(random));
   }
   script.bytes += own;
   return script;
@@ -128,17 +128,17 @@
 void CheckAnswer(const Script& script, Damage damage, const CollectedAnswer& answer) {
   // Nothing but the own answer's bytes is ever handed on.
   const bool is_own = script.own_body.compare(0, answer.body.size(), answer.body) == 0;
-  CPPUNIT_ASSERT(is_own || (damage == Damage::kSpoiledHead && !IsSuccess(answer.status)));
+  CPPUNIT_ASSERT(is_own || (damage == Damage::kCorruptHead && !IsSuccess(answer.status)));
   const bool is_whole = answer.complete && answer.body == script.own_body;
   switch (damage) {
     case Damage::kNone:
-    case Damage::kBytesBehind:
+    case Damage::kTrailingBytes:
       CPPUNIT_ASSERT(is_whole && IsSuccess(answer.status));
       return;
-    case Damage::kCutShort:
+    case Damage::kTruncated:
       CPPUNIT_ASSERT(!answer.complete && answer.failure);
       return;
-    case Damage::kSpoiledHead:
+    case Damage::kCorruptHead:
       CPPUNIT_ASSERT(!answer.complete || !IsSuccess(answer.status) || is_whole);
       return;
   }
--- a/tests/auto/http/tst_backendconnection.cpp
+++ b/tests/auto/http/tst_backendconnection.cpp
@@ -13,7 +13,7 @@
 
 using test::ScriptedServer;
 
-constexpr char kOwn[] = "HTTP/1.1 200 OK\r\nRequest-Id: mine\r\nSeal: s\r\n";
+constexpr char kOwnHead[] = "HTTP/1.1 200 OK\r\nRequest-Id: mine\r\nSeal: s\r\n";
 
 struct AnswerRow {
   std::string_view name;
@@ -23,7 +23,7 @@
   std::string_view body;
 };
 
-const std::string own_answer = std::string(kOwn) + "Content-Length: 3\r\n\r\nabc";
+const std::string own_answer = std::string(kOwnHead) + "Content-Length: 3\r\n\r\nabc";
 const std::string other_answer =
     "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nSeal: s\r\nContent-Length: 5\r\n\r\nxxxxx";
 
@@ -45,18 +45,18 @@
     AnswerRow{"success without id", "HTTP/1.1 200 OK\r\nSeal: s\r\nContent-Length: 3\r\n\r\nabc",
               ScriptedServer::End::kKeepOpen, Reason::kBackendMalformed, ""},
     AnswerRow{"encoded success",
-              std::string(kOwn) + "Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc",
+              std::string(kOwnHead) + "Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\nabc",
               ScriptedServer::End::kKeepOpen, Reason::kBackendMalformed, ""},
     AnswerRow{"refusal without id", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
               ScriptedServer::End::kKeepOpen, std::nullopt, ""},
     AnswerRow{"bytes that are no answer", "\x01\x02garbage\r\n\r\n", ScriptedServer::End::kKeepOpen,
               Reason::kBackendMalformed, ""},
-    AnswerRow{"cut short", std::string(kOwn) + "Content-Length: 9\r\n\r\nabc",
+    AnswerRow{"cut short", std::string(kOwnHead) + "Content-Length: 9\r\n\r\nabc",
               ScriptedServer::End::kClose, Reason::kBackendClosed, "abc"},
-    AnswerRow{"without length, closed", std::string(kOwn) + "\r\nabc", ScriptedServer::End::kClose,
-              std::nullopt, "abc"},
-    AnswerRow{"without length, reset", std::string(kOwn) + "\r\nabc", ScriptedServer::End::kReset,
-              Reason::kBackendClosed, "abc"},
+    AnswerRow{"without length, closed", std::string(kOwnHead) + "\r\nabc",
+              ScriptedServer::End::kClose, std::nullopt, "abc"},
+    AnswerRow{"without length, reset", std::string(kOwnHead) + "\r\nabc",
+              ScriptedServer::End::kReset, Reason::kBackendClosed, "abc"},
 };
 
 void TestAnswer(const AnswerRow& row) {
--- a/tests/auto/http/tst_callerconnection.cpp
+++ b/tests/auto/http/tst_callerconnection.cpp
@@ -17,50 +17,50 @@
 
 namespace {
 
-constexpr std::size_t kAtOnce = 4;
+constexpr std::size_t kMaxPipelined = 4;
 
 // A server whose test gives the answers.
-class HandedOn : public QTcpServer, public CallerEvents {
+class RecordingServer : public QTcpServer, public CallerEvents {
  public:
-  HandedOn() { listen(QHostAddress::LocalHost); }
+  RecordingServer() { listen(QHostAddress::LocalHost); }
 
   Endpoint Address() const { return Endpoint{"127.0.0.1", serverPort()}; }
   CallerConnection& Connection() { return *m_connection; }
   // The targets of the requests that were handed on and not refused, in their order.
   const std::vector<std::string>& Targets() const { return m_targets; }
-  bool IsCallerGone() const { return m_gone; }
+  bool IsCallerDisconnected() const { return m_disconnected; }
 
   bool WaitForTargets(std::size_t count) {
     return test::WaitUntil([&] { return m_targets.size() >= count; });
   }
 
   // Answers a request with its number, or with a text.
-  void Answer(std::uint64_t number, std::string_view text = "") {
+  void Respond(std::uint64_t number, std::string_view text = "") {
     const std::string body = text.empty() ? "answer-" + std::to_string(number) : std::string(text);
-    Start(number, body.size());
+    SendHead(number, body.size());
     m_connection->SendBody(number, body);
-    m_connection->FinishAnswer(number);
+    m_connection->FinishResponse(number);
   }
 
-  void Start(std::uint64_t number, std::size_t length) {
+  void SendHead(std::uint64_t number, std::size_t length) {
     HttpResponseHead head;
     head.status = 200;
     head.content_length = length;
-    m_connection->StartAnswer(number, head);
+    m_connection->StartResponse(number, head);
   }
 
   std::size_t BodyLimit(const HttpRequest&) const override { return 1024; }
   void OnRequest(ExchangeId, HttpRequest request, std::size_t) override {
     m_targets.push_back(request.target);
   }
-  void OnBadRequest(ExchangeId exchange, Reason) override { Answer(exchange.number, "bad"); }
+  void OnBadRequest(ExchangeId exchange, Reason) override { Respond(exchange.number, "bad"); }
   void OnBodySent(ExchangeId, std::size_t) override {}
-  void OnCallerGone(ConnectionId) override { m_gone = true; }
+  void OnCallerDisconnected(ConnectionId) override { m_disconnected = true; }
 
  protected:
   void incomingConnection(qintptr descriptor) override {
     CallerLimits limits;
-    limits.requests_at_once = kAtOnce;
+    limits.max_pipelined_requests = kMaxPipelined;
     m_connection =
         std::make_unique<CallerConnection>(ConnectionId{1}, descriptor, limits, m_budget, *this);
   }
@@ -69,7 +69,7 @@
   BodyBudget m_budget{1UL << 20U};
   std::unique_ptr<CallerConnection> m_connection;
   std::vector<std::string> m_targets;
-  bool m_gone = false;
+  bool m_disconnected = false;
 };
 
 std::string Get(std::string_view target, std::string_view fields = "") {
@@ -85,8 +85,8 @@
 struct ReadAheadRow {
   std::string_view name;
   std::string requests;
-  std::vector<std::string> handed_on;
-  std::vector<std::string> after_all_answers;  // Handed on in all.
+  std::vector<std::string> dispatched;
+  std::vector<std::string> dispatched_in_total;  // Handed on in all.
 };
 
 const std::array read_ahead_rows{
@@ -121,64 +121,65 @@
 // Guards against requests that wait unread behind a slow one, and against any order of answers but
 // that of the requests.
 void TestReadAhead(const ReadAheadRow& row) {
-  HandedOn server;
+  RecordingServer server;
   test::RawClient client(server.Address());
   client.Send(row.requests);
-  CPPUNIT_ASSERT(server.WaitForTargets(row.handed_on.size()));
+  CPPUNIT_ASSERT(server.WaitForTargets(row.dispatched.size()));
   test::RunFor(std::chrono::milliseconds(50));
-  CPPUNIT_ASSERT(server.Targets() == row.handed_on);
-  for (std::size_t number = row.handed_on.size(); number > 0; --number) server.Answer(number);
-  CPPUNIT_ASSERT(server.WaitForTargets(row.after_all_answers.size()));
-  for (std::size_t number = row.handed_on.size(); number < row.after_all_answers.size(); ++number) {
-    server.Answer(number + 1);
+  CPPUNIT_ASSERT(server.Targets() == row.dispatched);
+  for (std::size_t number = row.dispatched.size(); number > 0; --number) server.Respond(number);
+  CPPUNIT_ASSERT(server.WaitForTargets(row.dispatched_in_total.size()));
+  for (std::size_t number = row.dispatched.size(); number < row.dispatched_in_total.size();
+       ++number) {
+    server.Respond(number + 1);
   }
   std::size_t position = 0;
-  for (std::size_t number = 1; number <= row.after_all_answers.size(); ++number) {
+  for (std::size_t number = 1; number <= row.dispatched_in_total.size(); ++number) {
     const std::string answer = "answer-" + std::to_string(number);
     CPPUNIT_ASSERT_MESSAGE(answer, client.WaitFor(answer));
     const std::size_t found = client.Received().find(answer);
     CPPUNIT_ASSERT(found >= position);
     position = found;
   }
-  CPPUNIT_ASSERT(server.Targets() == row.after_all_answers);
+  CPPUNIT_ASSERT(server.Targets() == row.dispatched_in_total);
 }
 
 const test::TableTest<ReadAheadRow> read_ahead_test("CallerReadAhead", read_ahead_rows,
                                                     TestReadAhead);
 
 // What happens while two requests of a caller are due.
-struct TwoDueRow {
+struct TwoPendingRow {
   std::string_view name;
-  void (*run)(HandedOn& server, test::RawClient& client);
+  void (*run)(RecordingServer& server, test::RawClient& client);
 };
 
 // Guards against an answer that breaks off and takes the other one's connection with it.
-void ReplacesHeldAnswer(HandedOn& server, test::RawClient& client) {
-  server.Start(1, 100);
+void ReplacesBufferedResponse(RecordingServer& server, test::RawClient& client) {
+  server.SendHead(1, 100);
   server.Connection().SendBody(1, "half");
-  CPPUNIT_ASSERT(server.Connection().Retract(1));
-  server.Answer(1, "replaced");
-  server.Answer(2);
+  CPPUNIT_ASSERT(server.Connection().DiscardUnsentResponse(1));
+  server.Respond(1, "replaced");
+  server.Respond(2);
   CPPUNIT_ASSERT(client.WaitFor("answer-2"));
   CPPUNIT_ASSERT(client.Received().find("half") == std::string::npos);
   CPPUNIT_ASSERT(client.Received().find("replaced") != std::string::npos);
 }
 
 // Guards against a retraction of bytes that the caller has.
-void KeepsSentAnswer(HandedOn& server, test::RawClient& client) {
-  server.Answer(1);
-  server.Start(2, 100);
+void KeepsSentResponse(RecordingServer& server, test::RawClient& client) {
+  server.Respond(1);
+  server.SendHead(2, 100);
   server.Connection().SendBody(2, "half");
-  CPPUNIT_ASSERT(!server.Connection().Retract(2));
+  CPPUNIT_ASSERT(!server.Connection().DiscardUnsentResponse(2));
   CPPUNIT_ASSERT(client.WaitFor("half"));
 }
 
 // Guards against a connection that closes with requests handed on and not answered.
-void AnswersAllBeforeClosing(HandedOn& server, test::RawClient& client) {
+void RespondsToAllBeforeClosing(RecordingServer& server, test::RawClient& client) {
   server.Connection().CloseWhenIdle();
   client.Send(Get("/3"));
-  server.Answer(2);
-  server.Answer(1);
+  server.Respond(2);
+  server.Respond(1);
   CPPUNIT_ASSERT(client.WaitForClose());
   const std::string received = client.Received();
   CPPUNIT_ASSERT(received.find("answer-1") < received.find("Connection: close"));
@@ -186,27 +187,28 @@
   CPPUNIT_ASSERT_EQUAL(std::size_t{2}, server.Targets().size());
 }
 
-void HearsOfCallerThatLeaves(HandedOn& server, test::RawClient& client) {
+void ReportsDisconnectedCaller(RecordingServer& server, test::RawClient& client) {
   client.Abort();
-  CPPUNIT_ASSERT(test::WaitUntil([&] { return server.IsCallerGone(); }));
+  CPPUNIT_ASSERT(test::WaitUntil([&] { return server.IsCallerDisconnected(); }));
 }
 
-constexpr std::array kTwoDueRows{
-    TwoDueRow{"broken answer is replaced", ReplacesHeldAnswer},
-    TwoDueRow{"sent answer is not taken back", KeepsSentAnswer},
-    TwoDueRow{"closes after all answers", AnswersAllBeforeClosing},
-    TwoDueRow{"caller leaves", HearsOfCallerThatLeaves},
+constexpr std::array kTwoPendingRows{
+    TwoPendingRow{"broken answer is replaced", ReplacesBufferedResponse},
+    TwoPendingRow{"sent answer is not taken back", KeepsSentResponse},
+    TwoPendingRow{"closes after all answers", RespondsToAllBeforeClosing},
+    TwoPendingRow{"caller leaves", ReportsDisconnectedCaller},
 };
 
-void TestTwoDue(const TwoDueRow& row) {
-  HandedOn server;
+void TestTwoPending(const TwoPendingRow& row) {
+  RecordingServer server;
   test::RawClient client(server.Address());
   client.Send(Get("/1") + Get("/2"));
   CPPUNIT_ASSERT(server.WaitForTargets(2));
   row.run(server, client);
 }
 
-const test::TableTest<TwoDueRow> two_due_test("CallerTwoDue", kTwoDueRows, TestTwoDue);
+const test::TableTest<TwoPendingRow> two_pending_test("CallerTwoDue", kTwoPendingRows,
+                                                      TestTwoPending);
 
 }  // namespace
 
--- a/tests/support/httpclient.cpp
+++ b/tests/support/httpclient.cpp
@@ -76,7 +76,7 @@
   return result;
 }
 
-void HttpClient::OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) {
+void HttpClient::OnBackendResponsePart(ConnectionId connection, ResponsePart part, bool reusable) {
   const auto found = m_pending.find(connection);
   if (found == m_pending.end()) return;
   HttpAnswer& answer = found->second.answer;
--- a/tests/support/httpclient.h
+++ b/tests/support/httpclient.h
@@ -60,7 +60,7 @@
 
   std::size_t Pending() const { return m_pending.size(); }
 
-  void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) override;
+  void OnBackendResponsePart(ConnectionId connection, ResponsePart part, bool reusable) override;
   void OnBackendFailed(ConnectionId connection, Reason reason, bool may_have_run) override;
   void OnBackendIdleClosed(ConnectionId connection) override;
 
--- a/tests/support/httpserver.cpp
+++ b/tests/support/httpserver.cpp
@@ -40,10 +40,10 @@
   head.status = status;
   head.headers = std::move(headers);
   head.content_length = body.size();
-  const std::uint64_t number = caller->FirstDue();
-  caller->StartAnswer(number, head);
+  const std::uint64_t number = caller->OldestPendingExchange();
+  caller->StartResponse(number, head);
   caller->SendBody(number, body);
-  caller->FinishAnswer(number);
+  caller->FinishResponse(number);
 }
 
 void HttpServer::AnswerChunked(ConnectionId connection, int status, std::string_view body,
@@ -53,12 +53,12 @@
   HttpResponseHead head;
   head.status = status;
   head.headers = std::move(headers);
-  const std::uint64_t number = caller->FirstDue();
-  caller->StartAnswer(number, head);
+  const std::uint64_t number = caller->OldestPendingExchange();
+  caller->StartResponse(number, head);
   for (std::size_t at = 0; at < body.size(); at += chunk_bytes) {
     caller->SendBody(number, body.substr(at, chunk_bytes));
   }
-  caller->FinishAnswer(number);
+  caller->FinishResponse(number);
 }
 
 void HttpServer::Abort(ConnectionId connection) {
@@ -80,7 +80,7 @@
 
 void HttpServer::OnBodySent(ExchangeId, std::size_t) {}
 
-void HttpServer::OnCallerGone(ConnectionId connection) {
+void HttpServer::OnCallerDisconnected(ConnectionId connection) {
   Remove(connection);
   if (m_gone) m_gone(connection);
 }
--- a/tests/support/httpserver.h
+++ b/tests/support/httpserver.h
@@ -48,7 +48,7 @@
   void OnRequest(ExchangeId exchange, HttpRequest request, std::size_t body_bytes) override;
   void OnBadRequest(ExchangeId exchange, Reason reason) override;
   void OnBodySent(ExchangeId exchange, std::size_t bytes) override;
-  void OnCallerGone(ConnectionId connection) override;
+  void OnCallerDisconnected(ConnectionId connection) override;
 
  protected:
   void incomingConnection(qintptr descriptor) override;
--- a/tests/support/scriptedserver.cpp
+++ b/tests/support/scriptedserver.cpp
@@ -23,7 +23,7 @@
 // Collects what became of one request.
 class Collector : public BackendEvents {
  public:
-  void OnBackendPart(ConnectionId, AnswerPart part, bool) override {
+  void OnBackendResponsePart(ConnectionId, ResponsePart part, bool) override {
     if (part.head) m_answer.status = part.head->status;
     m_answer.body += part.data;
     m_answer.complete = part.last;
@@ -80,7 +80,7 @@
   request.target = "/";
   request.headers = {{"Host", "h"}, {"Request-Id", "mine"}};
   connection.Send(request, kCreditBytes, kRequestTimeout,
-                  AnswerCheck{"Request-Id", "mine", "Seal"});
+                  ResponseCheck{"Request-Id", "mine", "Seal"});
   CPPUNIT_ASSERT(
       WaitUntil([&] { return collector.Answer().complete || collector.Answer().failure; }));
   return collector.Answer();
--- a/tests/support/standin-platform/platform.cpp
+++ b/tests/support/standin-platform/platform.cpp
@@ -55,7 +55,7 @@
 
 void Platform::OnBodySent(ExchangeId, std::size_t) {}
 
-void Platform::OnCallerGone(ConnectionId connection) {
+void Platform::OnCallerDisconnected(ConnectionId connection) {
   std::erase_if(m_waiting,
                 [&](const auto& entry) { return entry.second.connection == connection; });
   auto found = m_connections.extract(connection);
@@ -146,10 +146,10 @@
   head.content_length = value.body.size();
   head.headers.push_back({std::string(kVersionHeader), std::to_string(value.version)});
   CallerConnection& caller = *m_connections.at(connection);
-  const std::uint64_t number = caller.FirstDue();
-  caller.StartAnswer(number, head);
+  const std::uint64_t number = caller.OldestPendingExchange();
+  caller.StartResponse(number, head);
   caller.SendBody(number, value.body);
-  caller.FinishAnswer(number);
+  caller.FinishResponse(number);
 }
 
 void Platform::AnswerNotModified(ConnectionId connection, Resource resource) {
@@ -157,9 +157,9 @@
   head.status = 304;
   head.headers.push_back({std::string(kVersionHeader), std::to_string(Served(resource).version)});
   CallerConnection& caller = *m_connections.at(connection);
-  const std::uint64_t number = caller.FirstDue();
-  caller.StartAnswer(number, head);
-  caller.FinishAnswer(number);
+  const std::uint64_t number = caller.OldestPendingExchange();
+  caller.StartResponse(number, head);
+  caller.FinishResponse(number);
 }
 
 void Platform::Answer(ConnectionId connection, int status, std::string_view body) {
@@ -167,10 +167,10 @@
   head.status = status;
   head.content_length = body.size();
   CallerConnection& caller = *m_connections.at(connection);
-  const std::uint64_t number = caller.FirstDue();
-  caller.StartAnswer(number, head);
+  const std::uint64_t number = caller.OldestPendingExchange();
+  caller.StartResponse(number, head);
   caller.SendBody(number, body);
-  caller.FinishAnswer(number);
+  caller.FinishResponse(number);
 }
 
 const Platform::Value& Platform::Served(Resource resource) const {
--- a/tests/support/standin-platform/platform.h
+++ b/tests/support/standin-platform/platform.h
@@ -48,7 +48,7 @@
   void OnRequest(ExchangeId exchange, HttpRequest request, std::size_t body_bytes) override;
   void OnBadRequest(ExchangeId exchange, Reason reason) override;
   void OnBodySent(ExchangeId exchange, std::size_t bytes) override;
-  void OnCallerGone(ConnectionId connection) override;
+  void OnCallerDisconnected(ConnectionId connection) override;
 
   void Read(ConnectionId connection, Resource resource, const QUrl& url);
   void EndWait(std::uint64_t wait);
