--- a/src/libs/http/backendconnection.cpp
+++ b/src/libs/http/backendconnection.cpp
@@ -106,7 +106,7 @@
 
 void BackendConnection::ReadMore() {
   if (m_state == State::kIdle) {
-    // Nothing was asked, so the bytes belong to no request.
+    // No request is pending, so the bytes belong to none.
     m_state = State::kClosed;
     m_events.OnBackendIdleClosed(m_id);
     return;
@@ -156,7 +156,7 @@
 void BackendConnection::AcceptHead() {
   const auto& message = m_parser->get();
   if (message.result_int() >= 100 && message.result_int() < 200) {
-    StartParser();  // An interim answer; the final one follows.
+    StartParser();  // An interim (1xx) response; the final one follows.
     return;
   }
   HttpResponseHead head;
@@ -184,7 +184,7 @@
   const bool needs_id = !m_check.id_field.empty() && !m_check.id.empty();
   if (needs_id && !HasHeader(head.headers, m_check.id_field)) return false;
   if (m_check.success_marker_field.empty()) return true;
-  // Callers ask for no encoding, so an encoded body is not the one that the mark stands for.
+  // Callers request no content encoding, so the success marker does not vouch for an encoded body.
   return HasHeader(head.headers, m_check.success_marker_field) &&
          !HasHeader(head.headers, "Content-Encoding");
 }
@@ -195,7 +195,7 @@
   if (m_close_delimited_descriptor < 0) return Fail(Reason::kBackendClosed);
   const QByteArray buffered = m_socket.readAll();
   m_socket.disconnect(this);
-  m_socket.abort();  // Closes its own descriptor only.
+  m_socket.abort();  // Closes only the socket's own descriptor.
   m_close_delimited_notifier =
       std::make_unique<QSocketNotifier>(m_close_delimited_descriptor, QSocketNotifier::Read);
   connect(m_close_delimited_notifier.get(), &QSocketNotifier::activated, this,
@@ -273,8 +273,8 @@
     return;
   }
   if (m_state == State::kReading) {
-    // Read what arrived before the close, without regard to credit: the socket buffer is small and
-    // will not grow.
+    // Read what arrived before the close regardless of credit: the socket buffer is limited and
+    // receives nothing more.
     m_credit = std::max<std::size_t>(m_credit, kReadBufferBytes);
     ReadMore();
     if (m_state != State::kReading) return;
--- a/src/libs/http/backendconnection.h
+++ b/src/libs/http/backendconnection.h
@@ -21,7 +21,8 @@
 
 namespace damaskhollow {
 
-// What was read of an answer at one time. The first part has the head; a small answer is one part.
+// A piece of a response as it was read. The first part has the head; a small response is a single
+// part.
 struct ResponsePart {
   std::optional<HttpResponseHead> head;
   std::string data;
@@ -30,21 +31,21 @@
   bool IsEmpty() const { return !head && data.empty() && !last; }
 };
 
-// What an answer must show to belong to its request. Empty names are not checked.
+// Header fields that tie a response to its request. Fields with an empty name are not checked.
 struct ResponseCheck {
-  std::string id_field;              // Repeats the request's id on its answer.
-  std::string id;                    // Of the request; empty if it has none.
-  std::string success_marker_field;  // Each success bears it.
+  std::string id_field;              // Field in which the response repeats the request's id.
+  std::string id;                    // Id of the request; empty if it has none.
+  std::string success_marker_field;  // Field present in every success response.
 };
 
-// Gets what happens on connections to the backend server. Members are called on the connection's
+// Receives the events of connections to the backend server. Members are called on the connection's
 // thread.
 class BackendEvents {
  public:
   virtual ~BackendEvents() = default;
 
-  // More of the answer. `reusable` says, on the last part, whether the connection can take another
-  // request.
+  // Another part of the response was read. On the last part, `reusable` is whether the connection
+  // can carry another request.
   virtual void OnBackendResponsePart(ConnectionId connection, ResponsePart part, bool reusable) = 0;
 
   // The request failed. `may_have_run` is false only if no byte of the request was handed to the
@@ -55,8 +56,8 @@
   virtual void OnBackendIdleClosed(ConnectionId connection) = 0;
 };
 
-// A body that only collects what was parsed last. Unlike Beast's string_body it reserves nothing
-// for the declared length.
+// A Beast body that holds only the data parsed since it was last taken out. Unlike Beast's
+// string_body it does not reserve memory for the declared content length.
 struct CollectedBody {
   using value_type = std::string;
 
@@ -90,20 +91,20 @@
 };
 
 // The client side of one HTTP/1.1 connection to a backend server. It carries one request at a time
-// and never sends one again.
+// and never resends a request.
 class BackendConnection : public QObject {
  public:
   BackendConnection(ConnectionId id, const Endpoint& server, BackendEvents& events);
   ~BackendConnection() override;
 
-  // Sends a request, connecting first if needed. The answer is read as far as `credit` bytes of
-  // body allow. After `timeout` the request fails with kBackendTimeout and the connection closes.
-  // An answer that bears the id of another request is skipped; a success that lacks id or mark
-  // fails the request with kBackendMalformed.
+  // Sends a request, connecting first if needed. At most `credit` bytes of the response body are
+  // read. After `timeout` the request fails with kBackendTimeout and the connection closes. A
+  // response with the id of another request is skipped; a success that lacks the id or the success
+  // marker fails the request with kBackendMalformed.
   void Send(const HttpRequest& request, std::size_t credit, std::chrono::milliseconds timeout,
             ResponseCheck check = {});
 
-  // Allows `bytes` more of the answer's body.
+  // Permits reading `bytes` more of the response body.
   void AddCredit(std::size_t bytes);
 
   // Closes the connection without further events.
@@ -112,7 +113,8 @@
   bool IsIdle() const { return m_state == State::kIdle; }
   TimePoint IdleSince() const { return m_idle_since; }
 
-  // How long the backend server keeps the idle connection, by its last answer; empty if unsaid.
+  // How long the backend server keeps the idle connection open, as given by the Keep-Alive field of
+  // its last response; empty if not given.
   std::optional<Duration> KeepAliveTimeout() const { return m_keep_alive_timeout; }
 
  private:
@@ -142,20 +144,20 @@
   QTcpSocket m_socket;
   QTimer m_timer;
   State m_state = State::kNew;
-  std::string m_output;  // The request until it is written.
+  std::string m_output;  // Serialized request; empty once written.
   std::string m_method;
   std::string m_input;
   ResponseCheck m_check;
-  bool m_skipping_response = false;  // The answer being read belongs to another request.
+  bool m_skipping_response = false;  // The response belongs to another request.
   std::optional<Duration> m_keep_alive_timeout;
-  // A body without length is read from the descriptor itself, as Qt does not tell a reset from an
-  // orderly end. -1 unless one is being read.
+  // A close-delimited body (RFC 9112, 6.3) is read from a duplicate of the socket's descriptor, as
+  // Qt does not distinguish a reset from an orderly close. -1 unless such a body is being read.
   int m_close_delimited_descriptor = -1;
   std::unique_ptr<QSocketNotifier> m_close_delimited_notifier;
   std::optional<Parser> m_parser;
   std::size_t m_credit = 0;
   bool m_head_parsed = false;
-  ResponsePart m_part;  // Read but not handed on yet.
+  ResponsePart m_part;  // Read but not passed to m_events yet.
   bool m_reusable = false;
   bool m_written = false;
   TimePoint m_idle_since{};
--- a/src/libs/http/bodybudget.h
+++ b/src/libs/http/bodybudget.h
@@ -6,12 +6,12 @@
 
 namespace damaskhollow {
 
-// Limits the memory of all buffered bodies of a process. May be used from any thread.
+// Limits the memory used by all buffered message bodies of a process. May be used from any thread.
 class BodyBudget {
  public:
   explicit BodyBudget(std::size_t capacity_bytes) : m_capacity(capacity_bytes) {}
 
-  // Takes `bytes`; false, with nothing taken, if they are not left.
+  // Reserves `bytes`; returns false and reserves nothing if fewer are available.
   bool TryReserve(std::size_t bytes) {
     std::size_t used = m_used.load();
     do {
--- a/src/libs/http/callerconnection.cpp
+++ b/src/libs/http/callerconnection.cpp
@@ -17,11 +17,11 @@
 constexpr std::string_view kChunkEnd = "\r\n";
 constexpr qint64 kReadBufferBytes = 64LL * 1024LL;
 constexpr int kLingerMs = 2000;
-// A caller that sends on after it was refused is cut off beyond this, so that it cannot use the
-// network without end.
+// A caller that keeps sending after its request was rejected is disconnected beyond this limit, so
+// that it cannot use bandwidth indefinitely.
 constexpr std::size_t kMaxDiscardedBytes = 4UL * 1024UL * 1024UL;
-// An answer with others behind it is given as a whole up to this size, so that one that breaks off
-// does not take the connection and with it the others.
+// A response with others behind it is buffered until complete, up to this size, so that one that
+// fails midway does not close the connection and lose the others.
 constexpr std::size_t kMaxBufferedBytes = 64UL * 1024UL;
 
 bool IsSafeMethod(std::string_view method) {
@@ -52,7 +52,7 @@
 void CallerConnection::StartNextRequest() {
   m_parser.emplace();
   m_parser->header_limit(static_cast<std::uint32_t>(m_limits.header_bytes));
-  m_parser->body_limit(boost::none);  // Checked here, as the limit depends on the head.
+  m_parser->body_limit(boost::none);  // Checked in this class, as the limit depends on the head.
   m_request = HttpRequest();
   m_state = State::kReadingHead;
   m_request_is_http_10 = m_request_closes_connection = m_continue_due = false;
@@ -85,8 +85,8 @@
 bool CallerConnection::CanReadAhead() const {
   if (m_exchanges.empty()) return true;
   if (m_exchanges.size() >= m_limits.max_pipelined_requests) return false;
-  if (m_exchanges.back().is_http_10) return false;  // Its answer may end with the connection.
-  // Behind an answer that is on its way, the next request waits: should that answer break off, the
+  if (m_exchanges.back().is_http_10) return false;  // Response may be close-delimited.
+  // While a response is being sent, the next request waits: if that response fails midway, the
   // connection closes.
   return IsSafeMethod(m_exchanges.back().method) && !m_exchanges.front().sent;
 }
@@ -216,7 +216,7 @@
 void CallerConnection::StartResponse(std::uint64_t number, const HttpResponseHead& head) {
   Exchange* exchange = FindExchange(number);
   if (exchange == nullptr) return;
-  // While the connection closes, nothing is read behind the last exchange.
+  // While the connection is closing, nothing is read after the last exchange.
   const bool is_last = number == m_exchanges.back().number;
   if (m_closing && is_last) exchange->closes_connection = true;
   const bool no_body = HasNoBody(exchange->method, head.status);
@@ -232,7 +232,7 @@
   Exchange* exchange = FindExchange(number);
   if (exchange == nullptr || data.empty() || !exchange->has_body) return;
   if (!exchange->chunked) return WriteOrBuffer(*exchange, data, true);
-  // The body's bytes are counted apart from their framing, as each of them is a credit.
+  // Body bytes are counted separately from the chunk framing, as only they return credit.
   const boost::asio::const_buffer buffer(data.data(), data.size());
   const std::string chunk = boost::beast::buffers_to_string(http::make_chunk(buffer));
   const std::size_t start = chunk.size() - data.size() - kChunkEnd.size();
@@ -289,7 +289,7 @@
   m_socket.write(bytes.data(), static_cast<qint64>(bytes.size()));
 }
 
-// Hands on what is due of the first answers and ends those that are whole.
+// Writes the responses whose turn has come and removes the exchanges that are complete.
 void CallerConnection::FlushResponses() {
   while (!m_exchanges.empty() && m_exchanges.front().finished) {
     WriteBuffered(m_exchanges.front());
@@ -310,7 +310,8 @@
   ScheduleRead();
 }
 
-// From the event loop: a caller that pipelines thousands of requests must not nest as many calls.
+// Runs from the event loop: direct calls would nest as deep as the number of pipelined requests,
+// which may be thousands.
 void CallerConnection::ScheduleRead() {
   QMetaObject::invokeMethod(
       this,
@@ -324,7 +325,7 @@
 
 void CallerConnection::Linger() {
   // Closing with unread data in the receive buffer would reset the connection and could lose the
-  // answer, so the write side is shut down first and what still arrives is discarded.
+  // response, so the write side is shut down first and further input is discarded.
   m_state = State::kLingering;
   m_timer.start(kLingerMs);
   if (m_socket.bytesToWrite() == 0) {
@@ -355,7 +356,7 @@
     m_socket.abort();
     return;
   }
-  // What is not read now is not late.
+  // While reading is suspended, the caller is not late.
   if (!CanReadAhead()) return m_timer.start(m_limits.header_timeout_ms);
   Reject(Reason::kRequestTimeout);
 }
@@ -369,7 +370,7 @@
   m_closing = true;
   if (m_state != State::kReadingHead) return;
   if (!m_exchanges.empty()) {
-    // What is read behind them has not been handed on, so the caller sends it again.
+    // Requests read after these were not dispatched, so the caller will resend them.
     m_timer.stop();
     m_state = State::kStopped;
     return;
--- a/src/libs/http/callerconnection.h
+++ b/src/libs/http/callerconnection.h
@@ -23,8 +23,8 @@
 
 namespace damaskhollow {
 
-// Names one request and its answer on a caller's connection. Numbers rise in the order in which the
-// requests were sent, which is that of the answers.
+// Identifies one request and its response on a caller's connection. Numbers increase in the order
+// in which the requests were sent, which is also the order of the responses.
 struct ExchangeId {
   ConnectionId connection;
   std::uint64_t number = 0;
@@ -32,27 +32,27 @@
   auto operator<=>(const ExchangeId&) const = default;
 };
 
-// Gets what callers do. Members are called on the connection's thread.
+// Receives the requests and events of caller connections. Members are called on the connection's
+// thread.
 class CallerEvents {
  public:
   virtual ~CallerEvents() = default;
 
-  // The longest body that is accepted for a request with this head, in bytes.
+  // The maximum body size accepted for a request with this head, in bytes.
   virtual std::size_t BodyLimit(const HttpRequest& head) const = 0;
 
-  // A whole request. Others may follow before it is answered. `body_bytes` have been reserved in
-  // the body budget; the receiver releases them.
+  // A complete request was received. Others may follow before its response. `body_bytes` have been
+  // reserved in the body budget; the implementation releases them.
   virtual void OnRequest(ExchangeId exchange, HttpRequest request, std::size_t body_bytes) = 0;
 
-  // A request that cannot be accepted; the receiver answers it and the connection closes after
-  // that.
+  // A request cannot be accepted. The implementation responds to it, then the connection closes.
   virtual void OnBadRequest(ExchangeId exchange, Reason reason) = 0;
 
-  // `bytes` of the answer's body have been handed to the network.
+  // `bytes` of the response body have been handed to the network.
   virtual void OnBodySent(ExchangeId exchange, std::size_t bytes) = 0;
 
-  // The caller left, or the connection was closed. The connection may be deleted when this returns
-  // to the event loop.
+  // The caller disconnected or the connection was closed. The connection may be deleted once
+  // control returns to the event loop.
   virtual void OnCallerDisconnected(ConnectionId connection) = 0;
 };
 
@@ -61,77 +61,79 @@
   int header_timeout_ms = 10000;
   int body_timeout_ms = 60000;
   int idle_timeout_ms = 75000;
-  // Requests that are handed on before the first of them has been answered. Only safe methods
-  // (RFC 9110, 9.2.1) are; any other waits for the answers before it and holds back what follows.
+  // Maximum number of requests dispatched before the response to the first is complete. Only safe
+  // methods (RFC 9110, 9.2.1) are pipelined; any other request waits for the responses before it
+  // and blocks those behind it.
   std::size_t max_pipelined_requests = 1;
 };
 
-// The server side of one HTTP/1.1 connection. Answers go out in the order of the requests, whatever
-// the order in which they are given.
+// The server side of one HTTP/1.1 connection. Responses are sent in the order of the requests,
+// regardless of the order in which they are supplied.
 class CallerConnection : public QObject {
  public:
-  // Takes over a connected socket by its descriptor.
+  // Takes ownership of the descriptor of a connected socket.
   CallerConnection(ConnectionId id, qintptr descriptor, const CallerLimits& limits,
                    BodyBudget& budget, CallerEvents& events);
   ~CallerConnection() override;
 
-  // The oldest exchange without a whole answer; 0 if there is none.
+  // The oldest exchange without a complete response; 0 if there is none.
   std::uint64_t OldestPendingExchange() const {
     return m_exchanges.empty() ? 0 : m_exchanges.front().number;
   }
 
-  // Starts the answer to a request. This and the members below ignore exchanges that have ended.
+  // Starts the response to a request. This and the next three members ignore exchanges that have
+  // ended.
   void StartResponse(std::uint64_t number, const HttpResponseHead& head);
 
-  // Adds to the answer's body.
+  // Appends to the response body.
   void SendBody(std::uint64_t number, std::string_view data);
 
-  // Ends the answer.
+  // Ends the response.
   void FinishResponse(std::uint64_t number);
 
-  // Takes back what was given of an answer, so that another can be started; false if a part of it
-  // has been handed to the network.
+  // Discards the buffered part of a response so that another can be started; returns false if a
+  // part of it has been handed to the network.
   bool DiscardUnsentResponse(std::uint64_t number);
 
-  // Closes the connection so that the caller sees the answer as incomplete.
+  // Closes the connection such that the caller detects an incomplete response.
   void Abort();
 
-  // Closes the connection after the answers that are due, at once if there are none.
+  // Closes the connection after the pending responses, at once if there are none.
   void CloseWhenIdle();
 
-  // Closes the connection if the head of a request is awaited; a part of one is dropped, unread.
+  // Closes the connection if it awaits the head of a request; a partial head is discarded.
   void CloseIfAwaitingHead();
 
-  // Since when the head of a request has been awaited; empty once it has arrived whole.
+  // The time since which the head of a request has been awaited; empty if none is awaited.
   std::optional<TimePoint> AwaitingHeadSince() const;
 
  private:
   enum class State {
     kReadingHead,
     kReadingBody,
-    kWaitingForTurn,  // A whole request waits for the answers before it.
-    kStopped,         // Nothing more is read; the connection closes after the answers that are due.
+    kWaitingForTurn,  // A complete request waits for earlier responses.
+    kStopped,         // Reads nothing more; closes after the pending responses.
     kLingering,
     kClosed
   };
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-  // A request that was handed on, until its answer has been handed to the network.
+  // A dispatched request, until its response has been handed to the network.
   struct Exchange {
     std::uint64_t number = 0;
     std::string method;
     bool is_http_10 = false;
-    bool closes_connection = false;  // The connection closes after the answer.
+    bool closes_connection = false;  // After the response.
     bool started = false;
     bool chunked = false;
     bool has_body = false;
     bool finished = false;
-    bool sent = false;              // A part of the answer has been handed to the network.
-    std::string buffered;           // Not handed on yet.
-    std::size_t buffered_body = 0;  // Bytes of body in it.
+    bool sent = false;              // Part of the response was handed to the network.
+    std::string buffered;           // Response bytes that wait for earlier responses.
+    std::size_t buffered_body = 0;  // Body bytes in `buffered`.
   };
 
-  // Bytes that the socket has taken and not yet sent.
+  // Bytes written to the socket's buffer and not yet sent.
   struct Segment {
     std::uint64_t number = 0;
     std::size_t bytes = 0;
@@ -148,15 +150,26 @@
   void Reject(Reason reason);
   void StartNextRequest();
   void AwaitHead();
+
+  // Whether a complete request with this method may be dispatched before earlier responses end.
   bool CanDispatch(std::string_view method) const;
+
+  // Whether the next request may be read while earlier responses are pending.
   bool CanReadAhead() const;
+
+  // Continues reading, or dispatches the waiting request, from the event loop.
   void ScheduleRead();
   void SendContinue();
   Exchange* FindExchange(std::uint64_t number);
+
+  // Writes response bytes, or buffers them while the exchange has to wait for its turn or its
+  // response may still be discarded.
   void WriteOrBuffer(Exchange& exchange, std::string_view bytes, bool is_body);
   void Write(std::uint64_t number, std::string_view bytes, bool is_body);
   void WriteBuffered(Exchange& exchange);
   void FlushResponses();
+
+  // Shuts down the write side and discards further input for a limited time before closing.
   void Linger();
   void OnBytesWritten(qint64 bytes);
   void OnTimeout();
@@ -174,12 +187,12 @@
   std::optional<Parser> m_parser;
   HttpRequest m_request;
   std::size_t m_body_limit = 0;
-  std::size_t m_reserved = 0;  // Of the body budget, for the request being read.
+  std::size_t m_reserved = 0;  // Body budget reserved for the request being read.
   bool m_request_closes_connection = false;
   bool m_request_is_http_10 = false;
-  bool m_continue_due = false;  // The caller waits for 100 Continue before it sends the body.
+  bool m_continue_due = false;  // The caller awaits 100 Continue to send the body.
   std::uint64_t m_next_number = 1;
-  std::deque<Exchange> m_exchanges;  // In the order of their numbers.
+  std::deque<Exchange> m_exchanges;  // Ordered by number.
   std::deque<Segment> m_unsent;
   std::size_t m_discarded = 0;
   TimePoint m_awaiting_head_since{};
--- a/src/libs/http/message.h
+++ b/src/libs/http/message.h
@@ -16,7 +16,7 @@
   std::string value;
 };
 
-// A request. Its body is complete.
+// A request with its complete body.
 struct HttpRequest {
   std::string method;
   std::string target;
@@ -24,33 +24,33 @@
   std::string body;
 };
 
-// The start of an answer. Without a content length its body is sent in chunks.
+// Status and header fields of a response. Without a content length its body is sent chunked.
 struct HttpResponseHead {
   int status = 0;
   std::vector<HttpHeader> headers;
   std::optional<std::size_t> content_length;
 };
 
-// How the body of an answer is delimited and what becomes of the connection.
+// Whether the response body is chunked and whether the connection persists after the response.
 struct ResponseFraming {
   bool chunked = false;
   bool keep_alive = false;
 };
 
-// The status line and header fields of an HTTP/1.1 answer, with the fields that the framing calls
-// for.
+// Serializes the status line and header fields of an HTTP/1.1 response, including the fields that
+// `framing` requires.
 std::string SerializeResponseHead(const HttpResponseHead& head, const ResponseFraming& framing);
 
-// The value of the first field with this name, compared without case; empty when there is none.
+// The value of the first field with this name, ignoring case; empty if there is none.
 std::string_view FindHeader(std::span<const HttpHeader> headers, std::string_view name);
 
 bool HasHeader(std::span<const HttpHeader> headers, std::string_view name);
 
-// The fields that may be passed on: without those of the connection (RFC 9110, 7.6.1) and without
-// lengths, which the sender of a message sets itself.
+// The fields that an intermediary may forward: without connection-specific fields (RFC 9110, 7.6.1)
+// and without lengths, which the sender of a message sets itself.
 std::vector<HttpHeader> EndToEndHeaders(std::span<const HttpHeader> headers);
 
-// Whether an answer to `method` with `status` has no body by definition.
+// Whether a response to `method` with `status` has no body by definition.
 bool HasNoBody(std::string_view method, int status);
 
 }  // namespace damaskhollow
--- a/src/libs/ingress/ingressservice.cpp
+++ b/src/libs/ingress/ingressservice.cpp
@@ -10,14 +10,16 @@
 namespace {
 
 constexpr int kListenBacklog = 512;
-// A flood of other work may fill the connection limit; a quarter more is kept for the most urgent.
+// Connections are accepted up to a quarter above the limit, so that calls of the most urgent
+// priority get in while other traffic fills the limit.
 constexpr std::size_t kUrgentReserveDivisor = 4;
-// The part of the limit that is freed at once, so that the search for the oldest connections pays.
+// Fraction of the limit that is closed per pass. Closing in batches amortizes the search for the
+// oldest connections.
 constexpr std::size_t kCloseBatchDivisor = 16;
-// When a caller that found no connection free may come again.
+// Retry delay advised to callers whose connection is refused.
 constexpr std::chrono::milliseconds kOverloadedRetryAfter{1000};
 
-// The call that an owner's message belongs to; 0 for messages that belong to none.
+// The id of the call that an owner's message refers to; 0 if it refers to none.
 std::uint64_t CallIdOf(const wire::Envelope& message) {
   switch (message.body_case()) {
     case wire::Envelope::kResponseChunk:
@@ -44,7 +46,7 @@
     : m_context(context) {
   for (std::size_t index = 0; index < workers.size(); ++index) {
     Slot slot{workers[index].get(), nullptr};
-    // A shard lives on its thread, as its timer does.
+    // The shard's timer needs the thread affinity of the worker, so the shard is created there.
     slot.thread->RunAndWait(
         [&] { slot.shard = std::make_unique<IngressShard>(m_context, index, workers.size()); });
     m_slots.push_back(std::move(slot));
--- a/src/libs/ingress/ingressservice.h
+++ b/src/libs/ingress/ingressservice.h
@@ -17,30 +17,32 @@
 
 namespace damaskhollow {
 
-// The ingress role: accepts caller connections on the thread that creates it and spreads them over
-// the worker threads.
+// The ingress role of a node: accepts caller connections on the thread that creates it and
+// distributes them over the worker threads, each of which has one IngressShard.
 class IngressService : public QTcpServer {
  public:
   IngressService(const IngressContext& context,
                  std::span<const std::unique_ptr<EventThread>> workers);
   ~IngressService() override;
 
-  // Fails with kSocket.
+  // Starts accepting connections on `endpoint`. Fails with kSocket.
   Result<void> Listen(const Endpoint& endpoint);
 
-  // Passes an owner's message to the shard of its call. May be called from any thread.
+  // Forwards an owner's message to the shard that handles its call. May be called from any thread.
   void HandleOwnerMessage(const BackendServerId& owner, wire::Envelope message);
 
-  // Notes that a call request was not handed to the network. May be called from any thread.
+  // Handles a call request that could not be handed to the network; other messages are ignored.
+  // May be called from any thread.
   void HandleSendFailed(const wire::Envelope& message);
 
+  // Notify all shards that the link to `owner` was lost or established again.
   void HandleLinkDown(const BackendServerId& owner);
   void HandleLinkUp(const BackendServerId& owner);
 
-  // Stops accepting and closes connections as they become idle.
+  // Stops accepting connections and closes existing ones as they become idle.
   void StartClosing();
 
-  // Deletes all connections. The worker threads must still run.
+  // Deletes all shards and their connections. The worker threads must still be running.
   void Stop();
 
   std::size_t CallerConnections() const { return m_context.caller_connections.load(); }
@@ -48,7 +50,8 @@
  protected:
   void incomingConnection(qintptr descriptor) override;
 
-  // Has the shards close connections that wait for a request, as the limit is reached.
+  // Called when the connection limit is reached: tells the shards to close connections on which
+  // no complete request head has been received.
   void CloseWaitingConnections();
 
  private:
--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -12,19 +12,19 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval{20};
-// How long a call waits for a server to become reachable, for instance while a silent link is
+// Maximum time that a call waits for a reachable server, for instance while a silent link is
 // replaced.
 constexpr std::chrono::milliseconds kMaxServerWait{1000};
-// At the deadline the owner answers, or is asked by Cancel; its word needs this long to arrive,
-// also between regions.
+// Time after the deadline in which the owner's result, or its reply to Cancel, can still arrive. It
+// covers links between regions.
 constexpr std::chrono::milliseconds kDeadlineGrace{200};
-// Owners asked for their load before a choice. Two more than two random ones are hardly better; the
-// third covers one that does not answer.
+// Owners queried for their load before a choice. Two more than two random ones hardly improve the
+// choice; the third covers an owner that does not reply.
 constexpr std::size_t kLoadQueryServers = 3;
-// Round trip inside a region and a probe of the backend server there.
+// Covers a round trip within a region and a probe of the backend server by its owner.
 constexpr std::chrono::milliseconds kLoadQueryTimeout{15};
-// Of one caller's connection. More than browsers have sent at once, and few enough that the answers
-// held for their turn stay small.
+// Per caller connection. More than browsers used to pipeline, and few enough that the responses
+// buffered until their turn stay small.
 constexpr std::size_t kMaxPipelinedRequests = 8;
 constexpr std::size_t kDefaultBodyLimit = 1024UL * 1024UL;
 constexpr std::uint32_t kFirstErrorStatus = 500;
@@ -51,10 +51,10 @@
   return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-// Whether an attempt that was not run reached the backend server, which sent it back.
+// Whether an attempt that was not run reached the backend server, which refused it.
 bool ReachedServer(Reason reason) { return reason == Reason::kBackendShed; }
 
-// Whether the link is at fault rather than the server, so that the server may be tried again.
+// Whether the failure is due to the link, not the server, so that the server may be tried again.
 bool IsLinkFault(Reason reason) {
   return reason == Reason::kLinkSilent || reason == Reason::kLinkUnavailable;
 }
@@ -208,14 +208,14 @@
       return SendAttempt(exchange, call, choice, *expiry);
     }
   }
-  if (!call.attempts.empty()) return;  // One in doubt may still be answered.
+  if (!call.attempts.empty()) return;  // A suspect attempt may still get a response.
   const Reason reason = choice.refusal == Reason::kNone ? Reason::kLinkUnavailable : choice.refusal;
   if (!call.waiting) {
     call.waiting = true;
     call.waiting_until = std::min<TimePoint>(call.deadline, now + kMaxServerWait);
   }
-  // A call that was refused elsewhere is answered with that reason rather than with the lack of
-  // another server. After the loss of a link it waits, as a fresh link may be up soon.
+  // A call that another server refused fails with that server's reason, not with the lack of
+  // further servers. After the loss of a link it waits, as a new link may be established soon.
   const bool was_refused = call.last_reason != Reason::kNone && !IsLinkFault(call.last_reason);
   if (was_refused) return RespondWithReason(exchange, call.last_reason);
   if (now >= call.waiting_until) RespondWithReason(exchange, reason);
@@ -237,7 +237,7 @@
   wire::Envelope message =
       CallRequestFor(NameOf(id, attempt), server, call.call_class, call.digest, call.request);
   if (!call.call_class.route.IsEmpty()) {
-    // Both ends are on the owner's clock.
+    // expires_at_us and target_at_us are both on the owner's clock.
     const Duration after_target = call.deadline - (call.started + call.call_class.target);
     const auto target = static_cast<std::int64_t>(expiry.expires_at_us) - after_target.count();
     message.mutable_call_request()->set_target_at_us(
@@ -289,7 +289,7 @@
 
 bool IngressShard::StartRelay(CallId id, const Attempt& attempt, const wire::ResponseHead& head) {
   PendingCall& call = m_calls.at(attempt.exchange);
-  if (call.relayed_attempt.value != 0) return false;  // Another attempt of this call answers.
+  if (call.relayed_attempt.value != 0) return false;  // Another attempt is relayed.
   call.relayed_attempt = id;
   CancelOthers(call, id);
   m_connections.at(attempt.exchange.connection)
@@ -304,7 +304,7 @@
   if (attempt == nullptr || chunk.sequence() < attempt->next_sequence) return;
   const ExchangeId exchange = attempt->exchange;
   if (chunk.sequence() > attempt->next_sequence) {
-    // While the link is in doubt, the owner is asked for what is missing.
+    // For a suspect attempt, the status query requests the missing chunks from the owner.
     if (!attempt->is_suspect) HandleUnknownOutcome(id, Reason::kAnswerTruncated);
     return;
   }
@@ -342,7 +342,7 @@
 
 void IngressShard::AllowRetryOnServer(PendingCall& call, const BackendServerId& server,
                                       Reason reason) {
-  // The next home of a request id decides whether it may run without the one that is cut off.
+  // For a request id, the next home decides whether it may run without the unreachable home.
   if (!call.call_class.request_id.empty()) return;
   if (IsLinkFault(reason)) std::erase(call.tried, server);
 }
@@ -353,17 +353,18 @@
   const ExchangeId exchange = attempt->exchange;
   PendingCall& call = m_calls.at(exchange);
   if (call.relayed_attempt == id)
-    return HandleUnknownOutcome(id, reason);  // A part of its answer has been sent.
+    return HandleUnknownOutcome(id, reason);  // Part of its response arrived.
   AllowRetryOnServer(call, attempt->server, reason);
   ++(ReachedServer(reason) ? call.arrivals : call.refusals);
-  // The owner's memory of ended calls is limited, so a refusal this late proves nothing.
+  // Owners retain ended calls for a limited time, so a refusal this late is no proof of not-run.
   if (MonotonicNow() > call.deadline + kDeadlineGrace) {
     return HandleUnknownOutcome(id, Reason::kLinkSilent);
   }
   m_log.Failure("attempt_refused", call.log_id, reason)
       .With("server", attempt->server.Value())
       .With("after_us", (MonotonicNow() - attempt->sent).count());
-  // An owner without its backend server refuses at once; that must not attract calls.
+  // An owner whose backend server is unreachable refuses at once. kNoBackend keeps that short
+  // response time from attracting calls.
   EndAttempt(id, reason == Reason::kBackendUnreachable ? AttemptResult::kNoBackend
                                                        : AttemptResult::kRefused);
   RetryOrAnswer(exchange, call, reason, true);
@@ -415,7 +416,8 @@
   if (!call.attempts.empty()) return;
   const Reason decision = DecideRetry(call, reason, proved_not_run);
   if (decision == Reason::kRetryBudget) {
-    // The caller learns why the call was refused; the counter shows that it was not tried again.
+    // The caller gets the original reason; the counter records that the retry budget prevented a
+    // retry.
     m_context.metrics.CountRefusal(decision);
     return RespondWithReason(exchange, reason);
   }
@@ -476,7 +478,7 @@
     case AttemptVerdict::kWait:
       return;
     case AttemptVerdict::kNotRun:
-      // The owner itself is well, so the call may go there again.
+      // The owner itself is healthy, so the call may be sent there again.
       std::erase(m_calls.at(attempt->exchange).tried, attempt->server);
       return HandleNotRun(id, Reason::kLinkUnavailable);
     case AttemptVerdict::kUnknown:
@@ -496,7 +498,7 @@
     case Proof::kPending:
       return HandleUnknownOutcome(id, Reason::kBackendTimeout);
     case Proof::kDone:
-      return;  // Its answer or failure is on the way.
+      return;  // Its response or failure message is in transit.
     case Proof::kNone:
       return HandleUnknownOutcome(id, Reason::kOwnerRestarted);
   }
@@ -535,7 +537,7 @@
 Outcome IngressShard::ReportableOutcome(const PendingCall& call, Reason reason) {
   const ReasonInfo& info = InfoOf(reason);
   const bool has_id = !call.call_class.request_id.empty();
-  // An invalid request is refused at each send, so that no earlier one can have run.
+  // An invalid request is refused at every send, so no earlier send can have run.
   const bool is_invalid = info.http_status < static_cast<int>(kFirstErrorStatus);
   const bool lacks_proof = has_id && !is_invalid && !call.request_id_not_run;
   return info.outcome == Outcome::kNotRun && lacks_proof ? Outcome::kUnknown : info.outcome;
@@ -612,7 +614,7 @@
   }
   const auto found = m_connections.find(connection);
   if (found == m_connections.end()) return;
-  found->second.release()->deleteLater();  // It is the sender of this event.
+  found->second.release()->deleteLater();  // The connection emitted this event.
   m_connections.erase(found);
   m_context.caller_connections.fetch_sub(1);
 }
@@ -675,7 +677,7 @@
 }
 
 void IngressShard::SendHedge(ExchangeId exchange, PendingCall& call, TimePoint now) {
-  // The paid link is not for calls that run in this region already.
+  // Hedges stay in the region: the paid link is not used for a call that already runs here.
   const RoutingChoice choice = Choose(call, false);
   if (choice.refusal != Reason::kNone) return;
   const auto expiry = m_context.router.Stamp(choice.server, call.deadline - now);
@@ -691,7 +693,7 @@
     if (!call.attempts.empty() && now > call.deadline) late.push_back(exchange);
   }
   for (const ExchangeId exchange : late) {
-    // The end of one may close the connection, and with it the others on it.
+    // Ending one call may close its connection and thereby end other calls in the list.
     PendingCall* call = FindCall(exchange);
     if (call != nullptr) CheckDeadline(exchange, *call, now);
   }
--- a/src/libs/ingress/ingressshard.h
+++ b/src/libs/ingress/ingressshard.h
@@ -27,7 +27,8 @@
 
 namespace damaskhollow {
 
-// What the ingress shards of a node share. Each member may be used from any thread.
+// Dependencies and state shared by all ingress shards of a node. Each member may be used from any
+// thread.
 struct IngressContext {
   NodeIdentity identity;
   MetricsRegistry& metrics;
@@ -37,19 +38,21 @@
   BodyBudget& body_budget;
   std::atomic<std::shared_ptr<const Declaration>>& declaration;  // Null until one is accepted.
   std::atomic<std::size_t>& caller_connections;
-  // Beyond it, only calls of the most urgent priority are taken.
+  // Above this number of connections, only calls of the most urgent priority are accepted.
   std::size_t max_caller_connections = 0;
   AbsentSince absent_since = {};
   const CallConvention& convention;
-  ServiceId own_service;  // Of the calls that come in here.
+  ServiceId own_service;  // The service whose calls arrive at this node.
   RequestLog& request_log;
-  std::atomic<std::uint64_t>& version;  // Of the declaration.
+  std::atomic<std::uint64_t>& version;  // Version of the declaration.
 };
 
-// The calls of some caller connections, on one worker thread. All members run on that thread.
+// Handles a subset of the caller connections and their calls on one worker thread: routes each call
+// to an owner, retries and hedges it, and relays the response. All members must be called on that
+// thread.
 class IngressShard : public CallerEvents {
  public:
-  // `index` of `count` shards; call ids tell their shard by the remainder.
+  // Creates shard `index` of `count`. Each call id modulo `count` is the index of its shard.
   IngressShard(IngressContext context, std::size_t index, std::size_t count);
   ~IngressShard() override;
 
@@ -59,17 +62,19 @@
   // Handles a message that belongs to an attempt of this shard.
   void HandleOwnerMessage(const BackendServerId& owner, const wire::Envelope& message);
 
-  // The attempt's request was not handed to the network.
+  // Handles an attempt whose request could not be handed to the network.
   void HandleSendFailed(CallId attempt);
 
+  // Marks the attempts at `owner` as suspect and sends idempotent calls to another server as well.
   void HandleLinkDown(const BackendServerId& owner);
+  // Queries `owner` for the state of attempts that are suspect since the link was lost.
   void HandleLinkUp(const BackendServerId& owner);
 
-  // Closes idle connections, and the others after their present answer.
+  // Closes idle connections at once and the others after their pending responses.
   void CloseConnections();
 
-  // Closes up to `count` connections that have not sent the whole head of a request, those that
-  // have been awaited for longest first, if the node holds as many connections as it may.
+  // Closes up to `count` connections on which no complete request head has been received, longest
+  // waiting first. Does nothing while the node is below its connection limit.
   void CloseWaitingConnections(std::size_t count);
 
   std::size_t BodyLimit(const HttpRequest& head) const override;
@@ -79,7 +84,7 @@
   void OnCallerDisconnected(ConnectionId connection) override;
 
  private:
-  // A call from its complete request to the end of its answer.
+  // A call, from the receipt of its complete request to the end of its response.
   struct PendingCall {
     HttpRequest request;
     std::string log_id;
@@ -89,69 +94,82 @@
     TimePoint started{};
     TimePoint deadline{};
     std::vector<BackendServerId> tried;
-    std::size_t arrivals = 0;         // Ended attempts that reached or may have reached a server.
-    std::size_t refusals = 0;         // Attempts that owners refused before that.
-    std::vector<CallId> attempts;     // Those that still run.
-    bool request_id_not_run = false;  // A home says that no send of the request id has run.
-    CallId relayed_attempt;           // The attempt whose answer goes to the caller; 0 for none.
-    std::uint64_t load_query_id = 0;  // Names the load queries that are out; 0 for none.
-    std::size_t pending_load_answers = 0;  // Of them.
+    // Ended attempts that reached or may have reached a server.
+    std::size_t arrivals = 0;
+    std::size_t refusals = 0;              // Attempts refused before reaching a server.
+    std::vector<CallId> attempts;          // Attempts in progress.
+    bool request_id_not_run = false;       // A home reported that the request id has not run.
+    CallId relayed_attempt;                // Attempt whose response is relayed; 0 for none.
+    std::uint64_t load_query_id = 0;       // Of the load queries in progress; 0 for none.
+    std::size_t pending_load_answers = 0;  // Load queries without an answer.
     std::vector<LoadOffer> offers;
-    bool waiting = false;  // For a server that can take it.
+    bool waiting = false;  // For a server that can accept the call.
     TimePoint waiting_until{};
     bool hedged = false;
-    bool cancelled_at_deadline = false;  // Whether its owners were sent a Cancel at the deadline.
+    bool cancelled_at_deadline = false;  // Whether Cancel was sent at the deadline.
     Reason last_reason = Reason::kNone;
     Reason unknown_outcome_reason = Reason::kNone;  // Why an ended attempt may have run.
   };
 
-  // One sending of a call to an owner.
+  // One transmission of a call to an owner.
   struct Attempt {
     ExchangeId exchange;
     BackendServerId server;
     ExpiryStamp expiry;
     TimePoint sent{};
     std::uint32_t next_sequence = 0;
-    bool is_suspect = false;  // Its link went silent.
+    bool is_suspect = false;  // Its link was lost; the owner's status is awaited.
     bool crosses_regions = false;
     std::uint32_t status = 0;
-    bool is_error = false;  // The answer has a status of 500 or above.
+    bool is_error = false;  // The response has a status of 500 or above.
   };
 
-  // Whether the call is refused because its node holds too many caller connections.
+  // Whether the call must be refused because the node has too many caller connections. Calls of the
+  // most urgent priority are exempt.
   bool ExceedsConnectionLimit(const CallClass& call_class) const;
 
   void Route(ExchangeId exchange, PendingCall& call);
 
-  // Asks near owners for their load; false if the choice is to be made without.
+  // Queries nearby owners for their load; returns false if the server is to be chosen without.
   bool QueryLoad(ExchangeId exchange, PendingCall& call);
   void HandleLoadAnswer(const BackendServerId& owner, const wire::LoadAnswer& answer);
   void FinishLoadQuery(ExchangeId exchange, PendingCall& call);
   void RouteTo(ExchangeId exchange, PendingCall& call, const RoutingChoice& choice, TimePoint now);
 
-  // Sends an idempotent call to another server while an attempt is in doubt, so that it does not
-  // wait for the new link. The first answer counts.
+  // Sends an idempotent call to another server while an attempt is suspect, instead of waiting for
+  // the link to be replaced. The first response is relayed.
   void RouteSpeculatively(ExchangeId exchange);
 
   void SendAttempt(ExchangeId exchange, PendingCall& call, const RoutingChoice& choice,
                    const ExpiryStamp& expiry);
+
+  // Starts to relay the response of an attempt and cancels the others; returns false if another
+  // attempt is relayed already.
   bool StartRelay(CallId id, const Attempt& attempt, const wire::ResponseHead& head);
   void RecordPaidLinkBytes(std::size_t bytes);
   void HandleChunk(const wire::ResponseChunk& chunk);
-  // Lets a call try a server again whose link was at fault.
+
+  // Permits another attempt at `server` if `reason` is a fault of the link, not of the server.
   static void AllowRetryOnServer(PendingCall& call, const BackendServerId& server, Reason reason);
+
+  // Ends an attempt that is proven not to have run.
   void HandleNotRun(CallId attempt, Reason reason);
+
+  // Ends an attempt that may have run.
   void HandleUnknownOutcome(CallId attempt, Reason reason);
   void HandleStatus(const wire::StatusResult& status);
   void HandleCancelResult(const wire::CancelResult& cancelled);
 
-  // kNone if the call may be sent again, which uses up budget; otherwise the reason to answer with.
+  // Returns kNone if the call may be retried, which consumes retry budget; otherwise the reason to
+  // report to the caller.
   Reason DecideRetry(const PendingCall& call, Reason reason, bool proved_not_run);
   static std::size_t MaxArrivals(const PendingCall& call);
+
+  // Retries the call after its last attempt ended, or responds with a reason.
   void RetryOrAnswer(ExchangeId exchange, PendingCall& call, Reason reason, bool proved_not_run);
   void SendHedge(ExchangeId exchange, PendingCall& call, TimePoint now);
 
-  // A request with an id goes to its home, any other to where the router sends it.
+  // Chooses a server: the home of the request id if there is one, otherwise the router's choice.
   RoutingChoice Choose(const PendingCall& call, bool may_cross_regions);
   static RoutingRequest RequestOf(const PendingCall& call, bool may_cross_regions);
   AttemptName NameOf(CallId id, const Attempt& attempt) const;
@@ -159,12 +177,12 @@
   void CancelAttempts(PendingCall& call);
   void CancelOthers(PendingCall& call, CallId kept);
 
-  // The reason that may be given to the caller: one that says not-run only if that is proved for
-  // all attempts.
+  // The reason to report to the caller. A reason with the outcome not-run is replaced unless it is
+  // proven that no attempt has run.
   static Reason ReportableReason(const PendingCall& call, Reason reason);
 
-  // What the caller may conclude. For a call with a request id, not-run stands for all its sends,
-  // so it needs the word of a home that accepted the id.
+  // The outcome to report to the caller. For a call with a request id, not-run covers every send of
+  // that id, so it must be confirmed by a home that accepted the id.
   static Outcome ReportableOutcome(const PendingCall& call, Reason reason);
   void RecordRequestIdNotRun(CallId id);
   void RespondWithReason(ExchangeId exchange, Reason reason);
@@ -172,6 +190,9 @@
   void Tick();
   void CheckHedges(TimePoint now);
   void CheckDeadlines(TimePoint now);
+
+  // Sends Cancel for the attempts of a call past its deadline, and ends the call after a grace
+  // period.
   void CheckDeadline(ExchangeId exchange, PendingCall& call, TimePoint now);
   PendingCall* FindCall(ExchangeId exchange);
   Attempt* FindAttempt(CallId attempt);
@@ -185,8 +206,8 @@
   std::map<ExchangeId, PendingCall> m_calls;
   std::unordered_map<CallId, Attempt> m_attempts;
   std::unordered_map<std::uint64_t, ExchangeId> m_load_queries;
-  RetryPolicy m_retries;  // Its budgets are those of this shard's part of the calls.
-  Budgets m_budgets;      // Of the declaration that the last call came under.
+  RetryPolicy m_retries;  // Budgets cover the calls of this shard only.
+  Budgets m_budgets;      // From the declaration that applied to the last call.
   SplitPicker m_splits;
   RandomSource m_random;
   CallLog m_log;
--- a/tests/auto/http/tst_answerfuzz.cpp
+++ b/tests/auto/http/tst_answerfuzz.cpp
@@ -26,7 +26,7 @@
 enum class Framing { kLength, kChunks, kNone };
 constexpr std::array kFramings{Framing::kLength, Framing::kChunks, Framing::kNone};
 
-// What is wrong with the bytes that a server sends.
+// The fault in the bytes that a server sends.
 enum class Damage { kNone, kTruncated, kCorruptHead, kTrailingBytes };
 
 std::string RandomBody(RandomSource& random) {
@@ -92,7 +92,7 @@
     FuzzRow{"bytes behind, 7", Damage::kTrailingBytes, 7},
 };
 
-// One faulty server's bytes and what may become of them.
+// The bytes that a faulty server sends and the body of the response that belongs to the request.
 struct Script {
   std::string bytes;
   std::string own_body;
@@ -106,13 +106,13 @@
     script.bytes += MakeResponse(random, "other", framing, RandomBody(random));
   }
   Framing framing = kFramings[random.Below(kFramings.size())];
-  // What follows an answer without length belongs to its body.
+  // What follows the head of a close-delimited response belongs to its body.
   if (damage == Damage::kTrailingBytes && framing == Framing::kNone) framing = Framing::kLength;
   script.own_body = RandomBody(random);
   std::string own = MakeResponse(random, "mine", framing, script.own_body);
   if (damage == Damage::kTruncated) {
     own.resize(random.Below(own.size()));
-    // An orderly close ends an answer without length, wherever it comes.
+    // An orderly close ends a close-delimited response at any point, so only a reset truncates it.
     if (framing == Framing::kNone) script.end = ScriptedServer::End::kReset;
   } else if (damage == Damage::kCorruptHead) {
     own[random.Below(Head("mine").size())] = static_cast<char>(random.Below(256));
@@ -126,7 +126,7 @@
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
 void CheckAnswer(const Script& script, Damage damage, const CollectedAnswer& answer) {
-  // Nothing but the own answer's bytes is ever handed on.
+  // Only bytes of the request's own response may be passed on.
   const bool is_own = script.own_body.compare(0, answer.body.size(), answer.body) == 0;
   CPPUNIT_ASSERT(is_own || (damage == Damage::kCorruptHead && !IsSuccess(answer.status)));
   const bool is_whole = answer.complete && answer.body == script.own_body;
@@ -144,8 +144,8 @@
   }
 }
 
-// Guards against a parser that passes on bytes of another answer, takes a part for the whole, or
-// loses a whole answer, however the bytes are split on their way.
+// Guards against a parser that passes on bytes of another response, treats a truncated response as
+// complete, or loses a complete one, regardless of how the bytes are split in transit.
 void TestFuzzedAnswers(const FuzzRow& row) {
   RandomSource random(row.seed);
   for (int round = 0; round < kRoundsPerSeed; ++round) {
--- a/tests/auto/http/tst_backendconnection.cpp
+++ b/tests/auto/http/tst_backendconnection.cpp
@@ -27,8 +27,8 @@
 const std::string other_answer =
     "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nSeal: s\r\nContent-Length: 5\r\n\r\nxxxxx";
 
-// Answers as a faulty server gives them. None of them may pass for another's, and none that is
-// whole is thrown away.
+// Responses of a faulty server. A response must not be accepted for another request, and a complete
+// one must not be lost.
 const std::array answer_rows{
     AnswerRow{"own answer", own_answer, ScriptedServer::End::kKeepOpen, std::nullopt, "abc"},
     AnswerRow{"late answer of another request first", other_answer + own_answer,
--- a/tests/auto/http/tst_callerconnection.cpp
+++ b/tests/auto/http/tst_callerconnection.cpp
@@ -19,14 +19,14 @@
 
 constexpr std::size_t kMaxPipelined = 4;
 
-// A server whose test gives the answers.
+// A server that records dispatched requests; the test supplies the responses.
 class RecordingServer : public QTcpServer, public CallerEvents {
  public:
   RecordingServer() { listen(QHostAddress::LocalHost); }
 
   Endpoint Address() const { return Endpoint{"127.0.0.1", serverPort()}; }
   CallerConnection& Connection() { return *m_connection; }
-  // The targets of the requests that were handed on and not refused, in their order.
+  // The targets of the requests that were dispatched and not rejected, in order.
   const std::vector<std::string>& Targets() const { return m_targets; }
   bool IsCallerDisconnected() const { return m_disconnected; }
 
@@ -34,7 +34,7 @@
     return test::WaitUntil([&] { return m_targets.size() >= count; });
   }
 
-  // Answers a request with its number, or with a text.
+  // Responds to a request with `text`, or with a body that contains its number.
   void Respond(std::uint64_t number, std::string_view text = "") {
     const std::string body = text.empty() ? "answer-" + std::to_string(number) : std::string(text);
     SendHead(number, body.size());
@@ -80,17 +80,17 @@
   return "POST " + std::string(target) + " HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab";
 }
 
-// Requests that a caller sends without waiting, and those that are to be handed on before any is
-// answered.
+// Requests that a caller sends without waiting, and the targets expected to be dispatched before
+// any response.
 struct ReadAheadRow {
   std::string_view name;
   std::string requests;
   std::vector<std::string> dispatched;
-  std::vector<std::string> dispatched_in_total;  // Handed on in all.
+  std::vector<std::string> dispatched_in_total;  // After all responses.
 };
 
 const std::array read_ahead_rows{
-    // Pattern: callers that send further look-ups before the first is answered.
+    // Callers that pipeline lookups before the first response.
     ReadAheadRow{"safe ones together",
                  Get("/1") + Get("/2") + Get("/3"),
                  {"/1", "/2", "/3"},
@@ -118,8 +118,8 @@
                  {"/1", "/2"}},
 };
 
-// Guards against requests that wait unread behind a slow one, and against any order of answers but
-// that of the requests.
+// Guards against requests that are left unread behind a slow one, and against responses out of the
+// order of the requests.
 void TestReadAhead(const ReadAheadRow& row) {
   RecordingServer server;
   test::RawClient client(server.Address());
@@ -147,13 +147,13 @@
 const test::TableTest<ReadAheadRow> read_ahead_test("CallerReadAhead", read_ahead_rows,
                                                     TestReadAhead);
 
-// What happens while two requests of a caller are due.
+// A scenario with two requests of a caller awaiting responses.
 struct TwoPendingRow {
   std::string_view name;
   void (*run)(RecordingServer& server, test::RawClient& client);
 };
 
-// Guards against an answer that breaks off and takes the other one's connection with it.
+// Guards against a response that fails midway and closes the connection that the other needs.
 void ReplacesBufferedResponse(RecordingServer& server, test::RawClient& client) {
   server.SendHead(1, 100);
   server.Connection().SendBody(1, "half");
@@ -165,7 +165,7 @@
   CPPUNIT_ASSERT(client.Received().find("replaced") != std::string::npos);
 }
 
-// Guards against a retraction of bytes that the caller has.
+// Guards against discarding a response of which the caller already has bytes.
 void KeepsSentResponse(RecordingServer& server, test::RawClient& client) {
   server.Respond(1);
   server.SendHead(2, 100);
@@ -174,7 +174,7 @@
   CPPUNIT_ASSERT(client.WaitFor("half"));
 }
 
-// Guards against a connection that closes with requests handed on and not answered.
+// Guards against closing a connection with dispatched requests that have no response yet.
 void RespondsToAllBeforeClosing(RecordingServer& server, test::RawClient& client) {
   server.Connection().CloseWhenIdle();
   client.Send(Get("/3"));
