--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -156,7 +156,7 @@
       RequestOf(call, call.call_class.may_cross_regions), kLoadQueryServers);
   if (servers.empty()) return false;
   call.load_query_id = m_next_attempt++ * m_count + m_index;
-  call.pending_load_answers = servers.size();
+  call.pending_load_replies = servers.size();
   call.offers.clear();
   m_load_queries[call.load_query_id] = exchange;
   const std::uint64_t load_query_id = call.load_query_id;
@@ -181,7 +181,7 @@
   const ExchangeId exchange = found->second;
   PendingCall& call = m_calls.at(exchange);
   call.offers.push_back({owner, Duration(static_cast<Duration::rep>(answer.expected_us()))});
-  if (--call.pending_load_answers == 0) FinishLoadQuery(exchange, call);
+  if (--call.pending_load_replies == 0) FinishLoadQuery(exchange, call);
 }
 
 void IngressShard::FinishLoadQuery(ExchangeId exchange, PendingCall& call) {
--- a/src/libs/ingress/ingressshard.h
+++ b/src/libs/ingress/ingressshard.h
@@ -101,7 +101,7 @@
     bool request_id_not_run = false;       // A home reported that the request id has not run.
     CallId relayed_attempt;                // Attempt whose response is relayed; 0 for none.
     std::uint64_t load_query_id = 0;       // Of the load queries in progress; 0 for none.
-    std::size_t pending_load_answers = 0;  // Load queries without an answer.
+    std::size_t pending_load_replies = 0;  // Load queries without a reply.
     std::vector<LoadOffer> offers;
     bool waiting = false;  // For a server that can accept the call.
     TimePoint waiting_until{};
