--- a/src/app/node/main.cpp
+++ b/src/app/node/main.cpp
@@ -54,7 +54,8 @@
   const int stop_signals = OpenStopSignals();
   QCoreApplication application(argc, argv);
   damaskhollow::StartLogging(*damaskhollow::LogLevelFromName(loaded.value().settings.log_level));
-  damaskhollow::Node node(loaded.value().settings, damaskhollow::OwnSeams(loaded.value().settings));
+  damaskhollow::Node node(loaded.value().settings,
+                          damaskhollow::DefaultPlatformBindings(loaded.value().settings));
   if (Result<void> result = node.Start(); !result) {
     damaskhollow::EventLine(damaskhollow::LogPart::kNode, damaskhollow::LogLevel::kError,
                             "start_failed")
--- a/src/libs/configuration/freshstart.cpp
+++ b/src/libs/configuration/configurationbootstrap.cpp
@@ -1,4 +1,4 @@
-#include "configuration/freshstart.h"
+#include "configuration/configurationbootstrap.h"
 
 namespace damaskhollow {
 
@@ -16,27 +16,28 @@
 
 }  // namespace
 
-FreshStart::FreshStart(bool has_seeds, bool is_seed, RandomSource& random, TimePoint now,
-                       bool store_is_current)
+ConfigurationBootstrap::ConfigurationBootstrap(bool has_seeds, bool is_seed, RandomSource& random,
+                                               TimePoint now, bool store_is_current)
     : m_store_is_current(store_is_current), m_read_store_at(now + Spread(kSeedReadSpread, random)) {
   if (has_seeds && is_seed) m_read_store_at += kPeerWait;
   if (has_seeds && !is_seed) m_read_store_at += kPeerWait + Spread(kReadSpread, random);
 }
 
-void FreshStart::NoteCandidate(TimePoint now) {
+void ConfigurationBootstrap::OnCandidateReceived(TimePoint now) {
   if (!m_candidate_since) m_candidate_since = now;
 }
 
-FreshStart::Step FreshStart::Next(const PeersAsked& peers, TimePoint now) const {
+ConfigurationBootstrap::Step ConfigurationBootstrap::Next(const PeerResponses& peers,
+                                                          TimePoint now) const {
   if (m_candidate_since && m_store_is_current) return Step::kApplyCandidate;
   if (m_candidate_since) {
-    const bool all_answered = peers.answered >= peers.asked;
+    const bool all_responded = peers.responded >= peers.queried;
     const bool is_late = now >= *m_candidate_since + kPeerWait;
-    if (peers.holds_newer && !is_late) return Step::kFetchFromPeer;
-    return all_answered || is_late ? Step::kApplyCandidate : Step::kAskPeers;
+    if (peers.has_newer && !is_late) return Step::kFetchFromPeer;
+    return all_responded || is_late ? Step::kApplyCandidate : Step::kWaitForPeers;
   }
-  if (peers.holds_newer) return Step::kFetchFromPeer;
-  return now < m_read_store_at ? Step::kAskSeeds : Step::kReadStore;
+  if (peers.has_newer) return Step::kFetchFromPeer;
+  return now < m_read_store_at ? Step::kWaitForSeeds : Step::kReadStore;
 }
 
 }  // namespace damaskhollow
--- a/src/libs/configuration/fetchplan.cpp
+++ b/src/libs/configuration/fetchplan.cpp
@@ -9,7 +9,7 @@
 
 // The region's first reader gets this long before the next one also fetches over the paid link. It
 // covers one 64 KB part over the link with its round trip of 60 ms.
-constexpr std::chrono::milliseconds kFarTurn{300};
+constexpr std::chrono::milliseconds kTurnDuration{300};
 constexpr std::chrono::milliseconds kPeerRetry{1000};
 // Reads of a service that is down start at 0.5 s and slow down to one in 5 s, as a change must be
 // in force 5 s after the service accepted it.
@@ -21,40 +21,42 @@
 
 FetchPlan::FetchPlan(FleetNode self) : m_self(std::move(self)) {}
 
-void FetchPlan::SetPlace(ReaderPlace place, TimePoint now) {
-  const bool was_follower = m_place.role == ReaderRole::kFollower;
-  m_place = std::move(place);
-  const bool becomes_reader = was_follower && m_place.role != ReaderRole::kFollower;
+void FetchPlan::SetAssignment(ReaderAssignment assignment, TimePoint now) {
+  const bool was_follower = m_assignment.role == ReaderRole::kFollower;
+  m_assignment = std::move(assignment);
+  const bool becomes_reader = was_follower && m_assignment.role != ReaderRole::kFollower;
   if (becomes_reader) m_next_read = std::max(m_next_read, now);
 }
 
-void FetchPlan::NotePeer(const FleetNode& peer, std::uint64_t version, TimePoint now) {
+void FetchPlan::RecordPeerVersion(const FleetNode& peer, std::uint64_t version, TimePoint now) {
   Peer& entry = m_peers[peer.id];
   entry.node = peer;
   if (version > entry.version) entry.not_before.reset();
   entry.version = version;
-  NoteRumour(version, now);
+  RecordReportedVersion(version, now);
 }
 
-void FetchPlan::NoteRumour(std::uint64_t version, TimePoint now) {
+void FetchPlan::RecordReportedVersion(std::uint64_t version, TimePoint now) {
   if (version <= HighestKnown()) return;
   m_highest_known = version;
   m_highest_known_since = now;
 }
 
-void FetchPlan::ForgetPeer(const BackendServerId& peer) { m_peers.erase(peer); }
+void FetchPlan::RemovePeer(const BackendServerId& peer) { m_peers.erase(peer); }
 
-void FetchPlan::NotePeerFailed(const BackendServerId& peer, TimePoint now) {
+void FetchPlan::OnPeerFailed(const BackendServerId& peer, TimePoint now) {
   const auto found = m_peers.find(peer);
   if (found != m_peers.end()) found->second.not_before = now + kPeerRetry;
 }
 
-void FetchPlan::NoteHeld(std::uint64_t version) {
+void FetchPlan::RecordHeld(std::uint64_t version) {
   m_held = std::max(m_held, version);
-  NoteSeen(version);
+  RecordStoreVersion(version);
 }
 
-void FetchPlan::NoteSeen(std::uint64_t version) { m_seen = std::max(m_seen, version); }
+void FetchPlan::RecordStoreVersion(std::uint64_t version) {
+  m_store_version = std::max(m_store_version, version);
+}
 
 int FetchPlan::DistanceOf(const Peer& peer) const {
   if (peer.node.data_centre == m_self.data_centre) return 0;
@@ -63,26 +65,26 @@
 
 // When this node may fetch the highest known version over the paid link. The region's readers take
 // turns, and the first leaves its own watch some time to bring the version.
-std::optional<TimePoint> FetchPlan::TurnToCross() const {
-  const auto& readers = m_place.region_readers;
+std::optional<TimePoint> FetchPlan::PaidLinkTurn() const {
+  const auto& readers = m_assignment.region_readers;
   const auto found = std::find(readers.begin(), readers.end(), m_self.id);
   if (found == readers.end()) return std::nullopt;
-  return m_highest_known_since + kFarTurn * (std::distance(readers.begin(), found) + 1);
+  return m_highest_known_since + kTurnDuration * (std::distance(readers.begin(), found) + 1);
 }
 
-bool FetchPlan::MayAsk(const Peer& peer, TimePoint now) const {
+bool FetchPlan::MayQuery(const Peer& peer, TimePoint now) const {
   if (peer.version <= m_held) return false;
   if (peer.not_before && now < *peer.not_before) return false;
-  if (DistanceOf(peer) < 2 || m_place.region_readers.empty()) return true;
-  if (m_place.region_readers.empty()) return true;  // Nobody else here could fetch it.
-  const std::optional<TimePoint> turn = TurnToCross();
+  if (DistanceOf(peer) < 2 || m_assignment.region_readers.empty()) return true;
+  if (m_assignment.region_readers.empty()) return true;  // Nobody else here could fetch it.
+  const std::optional<TimePoint> turn = PaidLinkTurn();
   return turn && now >= *turn;
 }
 
-std::optional<BackendServerId> FetchPlan::PeerToAsk(RandomSource& random, TimePoint now) const {
+std::optional<BackendServerId> FetchPlan::PeerToQuery(RandomSource& random, TimePoint now) const {
   std::vector<const Peer*> best;
   for (const auto& [id, peer] : m_peers) {
-    if (!MayAsk(peer, now)) continue;
+    if (!MayQuery(peer, now)) continue;
     if (!best.empty()) {
       const Peer& other = *best.front();
       const bool is_better = peer.version != other.version ? peer.version > other.version
@@ -98,44 +100,45 @@
 }
 
 std::optional<StoreRead> FetchPlan::StoreReadDue(TimePoint now) const {
-  const std::optional<TimePoint> turn = TurnToCross();
-  const bool is_overdue = m_highest_known > m_seen && turn && now >= *turn;
+  const std::optional<TimePoint> turn = PaidLinkTurn();
+  const bool is_overdue = m_highest_known > m_store_version && turn && now >= *turn;
   // One extra read for each rumour: the running one may be on a silent connection.
   if (is_overdue && m_read_started < m_highest_known_since && now >= m_retry_not_before) {
-    return StoreRead{m_seen, {}};
+    return StoreRead{m_store_version, {}};
   }
   if (m_reading) return std::nullopt;
   if (m_requested_read && now >= std::max(*m_requested_read, m_retry_not_before)) {
-    return StoreRead{m_seen, {}};
+    return StoreRead{m_store_version, {}};
   }
-  if (m_place.role == ReaderRole::kFollower || now < m_next_read) return std::nullopt;
-  const bool is_watcher = m_place.role == ReaderRole::kWatcher;
-  return StoreRead{m_seen, is_watcher ? kStoreReadInterval : std::chrono::milliseconds(0),
-                   m_place.pause};
+  if (m_assignment.role == ReaderRole::kFollower || now < m_next_read) return std::nullopt;
+  const bool is_watcher = m_assignment.role == ReaderRole::kWatcher;
+  return StoreRead{m_store_version, is_watcher ? kStoreReadInterval : std::chrono::milliseconds(0),
+                   m_assignment.pause};
 }
 
-void FetchPlan::NoteStoreReadStarted(TimePoint now, std::chrono::milliseconds wait) {
+void FetchPlan::OnStoreReadStarted(TimePoint now, std::chrono::milliseconds wait) {
   m_reading = true;
   m_read_waits = wait.count() > 0;
   m_read_started = now;
   m_requested_read.reset();
 }
 
-void FetchPlan::NoteStoreChanged(TimePoint now) {
+void FetchPlan::OnStoreReadChanged(TimePoint now) {
   m_reading = false;
   m_failures = 0;
-  m_next_read = m_place.role == ReaderRole::kStandby ? m_read_started + kStoreReadInterval : now;
+  m_next_read =
+      m_assignment.role == ReaderRole::kStandby ? m_read_started + kStoreReadInterval : now;
 }
 
-void FetchPlan::NoteStoreUnchanged(TimePoint now) {
+void FetchPlan::OnStoreReadUnchanged(TimePoint now) {
   m_reading = false;
   m_failures = 0;
   // A watcher whose read was answered at once, as it asked for, has not watched in the meantime.
-  const bool goes_on = m_place.role == ReaderRole::kWatcher && !m_read_waits;
+  const bool goes_on = m_assignment.role == ReaderRole::kWatcher && !m_read_waits;
   m_next_read = goes_on ? now : m_read_started + kStoreReadInterval;
 }
 
-void FetchPlan::NoteStoreFailed(RandomSource& random, TimePoint now) {
+void FetchPlan::OnStoreReadFailed(RandomSource& random, TimePoint now) {
   m_reading = false;
   const Duration longest =
       std::min<Duration>(kFirstRetry * (1U << std::min(m_failures, kMaxDoublings)), kLongestRetry);
--- a/src/libs/configuration/fetchplan.h
+++ b/src/libs/configuration/fetchplan.h
@@ -33,42 +33,42 @@
   explicit FetchPlan(FleetNode self);
 
   // To be called whenever the live nodes or the inventory changed.
-  void SetPlace(ReaderPlace place, TimePoint now);
+  void SetAssignment(ReaderAssignment assignment, TimePoint now);
 
   // A linked peer said that it holds `version`.
-  void NotePeer(const FleetNode& peer, std::uint64_t version, TimePoint now);
+  void RecordPeerVersion(const FleetNode& peer, std::uint64_t version, TimePoint now);
 
   // A peer has heard of `version` without holding it. Rumours reach the readers of a region whose
   // own reads are silent; these then read the service on a new connection.
-  void NoteRumour(std::uint64_t version, TimePoint now);
+  void RecordReportedVersion(std::uint64_t version, TimePoint now);
 
   // The link to the peer is gone.
-  void ForgetPeer(const BackendServerId& peer);
+  void RemovePeer(const BackendServerId& peer);
 
   // The peer did not deliver `version` or delivered something invalid; it is asked for a later one
   // only, or for this one after a pause.
-  void NotePeerFailed(const BackendServerId& peer, TimePoint now);
+  void OnPeerFailed(const BackendServerId& peer, TimePoint now);
 
   // This node holds `version` now.
-  void NoteHeld(std::uint64_t version);
+  void RecordHeld(std::uint64_t version);
 
   // The service gave `version`. If it was refused, it is not read again; an older one that peers
   // hold is still of use.
-  void NoteSeen(std::uint64_t version);
+  void RecordStoreVersion(std::uint64_t version);
 
   // The peer to ask for a version above the one held: the highest version first, then the own data
   // centre, then the own region. A peer across the paid link is asked by a reader only, in the
   // order of the region's readers, so that one copy crosses the link.
-  std::optional<BackendServerId> PeerToAsk(RandomSource& random, TimePoint now) const;
+  std::optional<BackendServerId> PeerToQuery(RandomSource& random, TimePoint now) const;
 
   // The read that is due, if any. The caller starts it, giving up a read that still runs, and
   // reports its end.
   std::optional<StoreRead> StoreReadDue(TimePoint now) const;
   // `wait` is that of the read.
-  void NoteStoreReadStarted(TimePoint now, std::chrono::milliseconds wait = kStoreReadInterval);
-  void NoteStoreChanged(TimePoint now);    // The read brought a higher version.
-  void NoteStoreUnchanged(TimePoint now);  // There was none.
-  void NoteStoreFailed(RandomSource& random, TimePoint now);
+  void OnStoreReadStarted(TimePoint now, std::chrono::milliseconds wait = kStoreReadInterval);
+  void OnStoreReadChanged(TimePoint now);    // The read brought a higher version.
+  void OnStoreReadUnchanged(TimePoint now);  // There was none.
+  void OnStoreReadFailed(RandomSource& random, TimePoint now);
 
   // Asks for one immediate read, whatever the role: a node without any configuration, or a VM list
   // that has to be confirmed.
@@ -79,7 +79,7 @@
   // The highest version that this node holds or has heard of from peers.
   std::uint64_t HighestKnown() const { return std::max(m_held, m_highest_known); }
 
-  ReaderRole Role() const { return m_place.role; }
+  ReaderRole Role() const { return m_assignment.role; }
   bool StoreAnswers() const { return m_failures == 0; }
 
  private:
@@ -90,14 +90,14 @@
   };
 
   int DistanceOf(const Peer& peer) const;
-  std::optional<TimePoint> TurnToCross() const;
-  bool MayAsk(const Peer& peer, TimePoint now) const;
+  std::optional<TimePoint> PaidLinkTurn() const;
+  bool MayQuery(const Peer& peer, TimePoint now) const;
 
   const FleetNode m_self;
-  ReaderPlace m_place;
+  ReaderAssignment m_assignment;
   std::map<BackendServerId, Peer> m_peers;
   std::uint64_t m_held = 0;
-  std::uint64_t m_seen = 0;  // At least m_held.
+  std::uint64_t m_store_version = 0;  // At least m_held.
   std::uint64_t m_highest_known = 0;
   TimePoint m_highest_known_since{};
   bool m_reading = false;
--- a/src/libs/configuration/inventoryhold.cpp
+++ b/src/libs/configuration/inventoryretention.cpp
@@ -1,4 +1,4 @@
-#include "configuration/inventoryhold.h"
+#include "configuration/inventoryretention.h"
 
 #include <algorithm>
 #include <set>
@@ -10,8 +10,8 @@
 
 // A removal of at least so many servers that are also at least this part of the inventory is taken
 // for a lapse.
-constexpr std::size_t kLapsedServers = 2;
-constexpr std::size_t kLapsedPart = 4;  // A quarter.
+constexpr std::size_t kMassRemovalServers = 2;
+constexpr std::size_t kMassRemovalDivisor = 4;  // A quarter.
 
 std::set<BackendServerId> ServersIn(const VmList& list) {
   std::set<BackendServerId> servers;
@@ -29,45 +29,45 @@
 
 }  // namespace
 
-void InventoryHold::Take(const VmList& list, TimePoint now) {
+void InventoryRetention::Update(const VmList& list, TimePoint now) {
   const std::set<BackendServerId> present = ServersIn(list);
   const std::set<BackendServerId> announced = LeavingIn(m_list);
   std::vector<BackendServer> removed;
   for (const BackendServer& server : m_list.inventory.value_or(std::vector<BackendServer>())) {
     if (!present.contains(server.id) && !announced.contains(server.id)) removed.push_back(server);
   }
-  const bool is_lapse =
-      removed.size() >= kLapsedServers && removed.size() * kLapsedPart >= m_list.entries.size();
-  const TimePoint until = now + (is_lapse ? kLapseHold : kEntryHold);
+  const bool is_mass_removal = removed.size() >= kMassRemovalServers &&
+                               removed.size() * kMassRemovalDivisor >= m_list.entries.size();
+  const TimePoint until = now + (is_mass_removal ? kMassRemovalGrace : kRemovalGrace);
   for (BackendServer& server : removed) {
     const BackendServerId id = server.id;
-    m_held.emplace(id, Held{std::move(server), until});
+    m_retained.emplace(id, Retained{std::move(server), until});
   }
-  std::erase_if(m_held, [&](const auto& held) { return present.contains(held.first); });
+  std::erase_if(m_retained, [&](const auto& retained) { return present.contains(retained.first); });
   m_list = list;
 }
 
-VmList InventoryHold::Current(TimePoint now) const {
+VmList InventoryRetention::Current(TimePoint now) const {
   VmList list = m_list;
   if (!list.inventory) return list;
-  for (const auto& [id, held] : m_held) {
-    if (held.until <= now) continue;
+  for (const auto& [id, retained] : m_retained) {
+    if (retained.until <= now) continue;
     list.entries.push_back({id, false});
-    list.inventory->push_back(held.server);
+    list.inventory->push_back(retained.server);
   }
   return list;
 }
 
-std::optional<TimePoint> InventoryHold::NextEnd() const {
+std::optional<TimePoint> InventoryRetention::NextExpiry() const {
   std::optional<TimePoint> next;
-  for (const auto& [id, held] : m_held) {
-    if (!next || held.until < *next) next = held.until;
+  for (const auto& [id, retained] : m_retained) {
+    if (!next || retained.until < *next) next = retained.until;
   }
   return next;
 }
 
-void InventoryHold::Expire(TimePoint now) {
-  std::erase_if(m_held, [now](const auto& held) { return held.second.until <= now; });
+void InventoryRetention::RemoveExpired(TimePoint now) {
+  std::erase_if(m_retained, [now](const auto& retained) { return retained.second.until <= now; });
 }
 
 }  // namespace damaskhollow
--- a/src/libs/configuration/parttransfer.cpp
+++ b/src/libs/configuration/parttransfer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Longer than a part needs on a paid link that is in use: 64 KB at 30 Mbit/s take 18 ms.
-constexpr std::chrono::milliseconds kStall{1000};
+constexpr std::chrono::milliseconds kStallTimeout{1000};
 
 }  // namespace
 
@@ -34,9 +34,9 @@
   if (m_text.size() + part.data.size() > part.total) return Progress::kFailed;
   m_text += part.data;
   m_last_progress = now;
-  return m_text.size() == part.total ? Progress::kComplete : Progress::kAskNext;
+  return m_text.size() == part.total ? Progress::kComplete : Progress::kRequestNext;
 }
 
-bool PartTransfer::IsStalled(TimePoint now) const { return now - m_last_progress > kStall; }
+bool PartTransfer::IsStalled(TimePoint now) const { return now - m_last_progress > kStallTimeout; }
 
 }  // namespace damaskhollow
--- a/src/libs/configuration/parttransfer.h
+++ b/src/libs/configuration/parttransfer.h
@@ -29,7 +29,7 @@
 class PartTransfer {
  public:
   // What the arrival of a part calls for.
-  enum class Progress { kAskNext, kComplete, kFailed, kIgnored };
+  enum class Progress { kRequestNext, kComplete, kFailed, kIgnored };
 
   PartTransfer(BackendServerId peer, std::uint64_t version, TimePoint now);
 
--- a/src/libs/configuration/platformreader.cpp
+++ b/src/libs/configuration/platformreader.cpp
@@ -28,10 +28,10 @@
   connect(&m_timer, &QTimer::timeout, this, [this] { Fail("no answer in time"); });
 }
 
-PlatformReader::~PlatformReader() { Drop(); }
+PlatformReader::~PlatformReader() { AbortRead(); }
 
 void PlatformReader::Start(const StoreRead& read) {
-  Drop();
+  AbortRead();
   QUrl url = m_url;
   if (read.after > 0) {
     QUrlQuery query;
@@ -66,18 +66,18 @@
     return Fail(m_reply->errorString().toStdString());
   }
   if (status == kStatusNotModified) {
-    Drop();
+    AbortRead();
     return m_events.OnPlatformUnchanged();
   }
   bool has_version = false;
   const quint64 version = m_reply->rawHeader(kVersionHeader).toULongLong(&has_version);
   if (status != kStatusOk || !has_version) return Fail("the answer is not one of this protocol");
   const QByteArray text = m_reply->readAll();
-  Drop();
+  AbortRead();
   m_events.OnPlatformChanged(version, {text.constData(), static_cast<std::size_t>(text.size())});
 }
 
-void PlatformReader::Drop() {
+void PlatformReader::AbortRead() {
   m_timer.stop();
   QNetworkReply* reply = std::exchange(m_reply, nullptr);
   if (reply == nullptr) return;
@@ -87,7 +87,7 @@
 }
 
 void PlatformReader::Fail(std::string_view detail) {
-  Drop();
+  AbortRead();
   m_events.OnPlatformFailed(detail);
 }
 
--- a/src/libs/configuration/platformreader.h
+++ b/src/libs/configuration/platformreader.h
@@ -53,7 +53,7 @@
  private:
   void CheckSize();
   void Finish();
-  void Drop();
+  void AbortRead();
   void Fail(std::string_view detail);
 
   QUrl m_url;
--- a/src/libs/configuration/readerelection.cpp
+++ b/src/libs/configuration/readerelection.cpp
@@ -59,17 +59,18 @@
   return ByRendezvous("region-reader/" + region.Value(), std::move(readers));
 }
 
-ReaderPlace PlaceOf(std::span<const FleetNode> live, const FleetNode& self,
-                    const RegionId& store_region) {
-  ReaderPlace place;
-  place.region_readers = RegionReaders(live, self.region);
-  const auto found = std::find(place.region_readers.begin(), place.region_readers.end(), self.id);
-  if (found == place.region_readers.end()) return place;
+ReaderAssignment ReaderAssignmentOf(std::span<const FleetNode> live, const FleetNode& self,
+                                    const RegionId& store_region) {
+  ReaderAssignment assignment;
+  assignment.region_readers = RegionReaders(live, self.region);
+  const auto found =
+      std::find(assignment.region_readers.begin(), assignment.region_readers.end(), self.id);
+  if (found == assignment.region_readers.end()) return assignment;
   const bool is_near = store_region.IsEmpty() || store_region == self.region;
-  const bool is_first = found == place.region_readers.begin();
-  place.role = is_near || is_first ? ReaderRole::kWatcher : ReaderRole::kStandby;
-  if (!is_first) place.pause = kSuccessorPause;
-  return place;
+  const bool is_first = found == assignment.region_readers.begin();
+  assignment.role = is_near || is_first ? ReaderRole::kWatcher : ReaderRole::kStandby;
+  if (!is_first) assignment.pause = kSuccessorPause;
+  return assignment;
 }
 
 }  // namespace damaskhollow
--- a/src/libs/configuration/readerelection.h
+++ b/src/libs/configuration/readerelection.h
@@ -38,7 +38,7 @@
 std::string_view ReaderRoleName(ReaderRole role);
 
 // The place of one node in the reading order.
-struct ReaderPlace {
+struct ReaderAssignment {
   ReaderRole role = ReaderRole::kFollower;
   std::vector<BackendServerId> region_readers;  // Of the node's region, first fetcher first.
   std::chrono::milliseconds pause{};            // Between a change and the next watch, at least.
@@ -55,8 +55,8 @@
 // The place of `self`. `store_region` is the region of the configuration service; if it is empty,
 // each reader watches. In a region far from it only the first reader watches, so that a change
 // crosses the paid link once.
-ReaderPlace PlaceOf(std::span<const FleetNode> live, const FleetNode& self,
-                    const RegionId& store_region);
+ReaderAssignment ReaderAssignmentOf(std::span<const FleetNode> live, const FleetNode& self,
+                                    const RegionId& store_region);
 
 }  // namespace damaskhollow
 
--- a/src/libs/configuration/vmlist.cpp
+++ b/src/libs/configuration/vmlist.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int kMostSlots = 10000;
+constexpr int kMaxSlots = 10000;
 constexpr char kLive[] = "live";
 constexpr char kLeaving[] = "leaving";
 
@@ -35,7 +35,7 @@
   server.warming = entry.value("warming").toBool();
   const int slots = entry.value("slots").toInt();
   const bool has_addresses = ParseEndpoint(server.address) && ParseEndpoint(server.peer_address);
-  if (server.service.IsEmpty() || !has_addresses || slots < 1 || slots > kMostSlots) {
+  if (server.service.IsEmpty() || !has_addresses || slots < 1 || slots > kMaxSlots) {
     return std::nullopt;
   }
   server.slots = static_cast<std::size_t>(slots);
--- a/src/libs/control/configurationkeeper.cpp
+++ b/src/libs/control/configurationholder.cpp
@@ -1,4 +1,4 @@
-#include "control/configurationkeeper.h"
+#include "control/configurationholder.h"
 
 #include <QFile>
 #include <QFileInfo>
@@ -26,17 +26,17 @@
 
 }  // namespace
 
-ConfigurationKeeper::ConfigurationKeeper(MetricsRegistry& metrics, ApplyFunction apply)
+ConfigurationHolder::ConfigurationHolder(MetricsRegistry& metrics, ApplyFunction apply)
     : m_metrics(metrics), m_apply(std::move(apply)) {}
 
-OfferResult ConfigurationKeeper::OfferDocument(std::uint64_t version, std::string_view text,
+OfferResult ConfigurationHolder::OfferDocument(std::uint64_t version, std::string_view text,
                                                DocumentSource source, std::string_view name) {
   if (m_guard.Version() > 0 || source == DocumentSource::kPeer) return Offer(version, text, name);
   const OfferResult result = m_candidate.Offer(version, text, name);
   return result == OfferResult::kInvalid ? Offer(version, text, name) : result;
 }
 
-OfferResult ConfigurationKeeper::Offer(std::uint64_t version, std::string_view text,
+OfferResult ConfigurationHolder::Offer(std::uint64_t version, std::string_view text,
                                        std::string_view source) {
   const OfferResult result = m_guard.Offer(version, text, source);
   m_metrics.Set(Metric::kConfigurationRefused, m_guard.RefusedCount());
@@ -55,12 +55,12 @@
   return result;
 }
 
-void ConfigurationKeeper::ApplyCandidate() {
+void ConfigurationHolder::ApplyCandidate() {
   const VersionGuard candidate = std::exchange(m_candidate, VersionGuard());
   Offer(candidate.Version(), candidate.Text(), "service");
 }
 
-Result<void> ConfigurationKeeper::LoadFile(const std::string& path) {
+Result<void> ConfigurationHolder::LoadFile(const std::string& path) {
   m_file = path;
   QFile file(QString::fromStdString(path));
   const QFileInfo info(file);
@@ -77,7 +77,7 @@
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-void ConfigurationKeeper::CheckFile() {
+void ConfigurationHolder::CheckFile() {
   if (m_file.empty()) return;
   const QFileInfo info(QString::fromStdString(m_file));
   if (!info.exists()) return;
@@ -89,7 +89,7 @@
   }
 }
 
-QJsonObject ConfigurationKeeper::Status() const {
+QJsonObject ConfigurationHolder::Status() const {
   QJsonArray refused;
   for (const RefusedVersion& entry : m_guard.Refused()) refused.append(ToJson(entry));
   QJsonObject json;
--- a/src/libs/control/configurationkeeper.h
+++ b/src/libs/control/configurationholder.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKHOLLOW_CONTROL_CONFIGURATIONKEEPER_H_
-#define DAMASKHOLLOW_CONTROL_CONFIGURATIONKEEPER_H_
+#ifndef DAMASKHOLLOW_CONTROL_CONFIGURATIONHOLDER_H_
+#define DAMASKHOLLOW_CONTROL_CONFIGURATIONHOLDER_H_
 
 #include <QDateTime>
 #include <QJsonObject>
@@ -14,12 +14,12 @@
 
 // Holds the configuration in force and puts accepted versions into force. A node that has none
 // keeps what the service gives as a candidate until its peers have been asked.
-class ConfigurationKeeper : public DocumentHolder {
+class ConfigurationHolder : public DocumentHolder {
  public:
   using ApplyFunction =
       std::function<void(const std::shared_ptr<const Declaration>&, std::uint64_t version)>;
 
-  ConfigurationKeeper(MetricsRegistry& metrics, ApplyFunction apply);
+  ConfigurationHolder(MetricsRegistry& metrics, ApplyFunction apply);
 
   std::uint64_t HeldVersion() const override { return m_guard.Version(); }
   std::string_view HeldText() const override { return m_guard.Text(); }
@@ -56,4 +56,4 @@
 
 }  // namespace damaskhollow
 
-#endif  // DAMASKHOLLOW_CONTROL_CONFIGURATIONKEEPER_H_
+#endif  // DAMASKHOLLOW_CONTROL_CONFIGURATIONHOLDER_H_
--- a/src/libs/control/controlservice.cpp
+++ b/src/libs/control/controlservice.cpp
@@ -16,7 +16,7 @@
 constexpr std::chrono::seconds kGossipPeriod{5};
 // On links that are not of the overlay, so that each end knows how to reach the other.
 constexpr std::chrono::seconds kWideGossipPeriod{20};
-constexpr std::chrono::milliseconds kRefreshTime{500};
+constexpr std::chrono::milliseconds kRefreshTimeout{500};
 constexpr std::size_t kRefreshPeers = 3;
 // Each takes about 45 bytes.
 constexpr std::size_t kStatementsPerGossip = 50;
@@ -25,7 +25,7 @@
 constexpr std::size_t kReaderCandidates = kReadersPerDataCentre + 2;
 // Gossip sent gets a quarter of the budget: as much is received, and the rest is for pings and
 // handshakes.
-constexpr std::size_t kGossipPartOfBudget = 4;
+constexpr std::size_t kGossipBudgetDivisor = 4;
 
 PeerStatement StatementFrom(const BackendServerId& server, const wire::OwnerState& state) {
   return PeerStatement{server,           Incarnation{state.incarnation()}, state.clock_us(),
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-ControlService::ControlService(ControlContext context, ConfigurationKeeper::ApplyFunction apply)
+ControlService::ControlService(ControlContext context, ConfigurationHolder::ApplyFunction apply)
     : m_context(context),
       m_apply(std::move(apply)),
       m_self{context.identity.server, context.settings.region, context.settings.data_centre},
@@ -52,27 +52,27 @@
       m_links(context.transport, context.messenger),
       m_configuration(context.metrics,
                       [this](const auto& declaration, std::uint64_t version) {
-                        NoteRules(declaration, version);
+                        OnRulesAccepted(declaration, version);
                       }),
       m_vm_list(
-          m_membership, [this](const VmList& list) { NoteInventory(list, MonotonicNow()); },
+          m_membership, [this](const VmList& list) { OnInventoryReceived(list, MonotonicNow()); },
           [this] { m_view_changed = m_announce = true; }),
-      m_configuration_sync(wire::DOCUMENT_CONFIGURATION, m_self, context.seams.read_configuration,
-                           m_configuration, context.metrics,
+      m_configuration_sync(wire::DOCUMENT_CONFIGURATION, m_self,
+                           context.bindings.read_configuration, m_configuration, context.metrics,
                            [this](const BackendServerId& peer, wire::Envelope message) {
                              m_links.Send(peer, std::move(message), MonotonicNow());
                            }),
-      m_vm_list_sync(wire::DOCUMENT_VM_LIST, m_self, context.seams.read_vm_list, m_vm_list,
+      m_vm_list_sync(wire::DOCUMENT_VM_LIST, m_self, context.bindings.read_vm_list, m_vm_list,
                      context.metrics,
                      [this](const BackendServerId& peer, wire::Envelope message) {
                        m_links.Send(peer, std::move(message), MonotonicNow());
                      }),
       m_probe(context.metrics,
-              [this](ProbeResult result) { m_drain.NoteProbe(result, MonotonicNow()); }) {
+              [this](ProbeResult result) { m_drain.OnProbe(result, MonotonicNow()); }) {
   const RegionId& store_region = context.settings.configuration_region;
   const bool is_far = !store_region.IsEmpty() && store_region != m_self.region;
-  m_configuration_sync.SetStoreFar(is_far);
-  m_vm_list_sync.SetStoreFar(is_far);
+  m_configuration_sync.SetStoreAcrossPaidLink(is_far);
+  m_vm_list_sync.SetStoreAcrossPaidLink(is_far);
 }
 
 ControlService::~ControlService() = default;
@@ -84,9 +84,9 @@
   const TimePoint now = MonotonicNow();
   const bool has_seeds = !settings.seed_peers.empty() || !settings.peer_overrides.empty();
   const bool is_seed = settings.seed_peers.contains(m_self.id);
-  m_fresh.emplace(has_seeds, is_seed, m_random, now, m_context.seams.store_is_current);
+  m_bootstrap.emplace(has_seeds, is_seed, m_random, now, m_context.bindings.store_is_current);
   DialSeeds();
-  if (m_context.seams.has_live_inventory) UpdatePlace(now);
+  if (m_context.bindings.has_live_inventory) UpdateReaderAssignment(now);
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
@@ -104,11 +104,11 @@
       targets, [](const BackendServerId&) { return false; }, MonotonicNow());
 }
 
-void ControlService::NoteRules(const std::shared_ptr<const Declaration>& rules,
-                               std::uint64_t version) {
+void ControlService::OnRulesAccepted(const std::shared_ptr<const Declaration>& rules,
+                                     std::uint64_t version) {
   m_rules = rules;
   m_rules_version = version;
-  NoteApplied(WithInventory(rules), version);
+  ApplyDeclaration(WithInventory(rules), version);
 }
 
 void ControlService::LogInventoryChange(std::span<const BackendServer> after) const {
@@ -135,26 +135,26 @@
   }
 }
 
-void ControlService::NoteInventory(const VmList& list, TimePoint now) {
+void ControlService::OnInventoryReceived(const VmList& list, TimePoint now) {
   m_membership.SetListTrusted(true);
-  m_hold.Take(list, now);
+  m_retention.Update(list, now);
   ApplyInventory(now);
 }
 
 void ControlService::TickInventory(TimePoint now) {
-  const std::optional<TimePoint> end = m_hold.NextEnd();
+  const std::optional<TimePoint> end = m_retention.NextExpiry();
   if (!end || now < *end) return;
-  m_hold.Expire(now);
+  m_retention.RemoveExpired(now);
   ApplyInventory(now);
   m_view_changed = true;
 }
 
 void ControlService::ApplyInventory(TimePoint now) {
-  VmList list = m_hold.Current(now);
+  VmList list = m_retention.Current(now);
   LogInventoryChange(*list.inventory);
-  m_membership.NoteList(std::move(list.entries));
+  m_membership.OfferList(std::move(list.entries));
   m_inventory = std::move(list.inventory);
-  if (m_rules) NoteApplied(WithInventory(m_rules), m_rules_version);
+  if (m_rules) ApplyDeclaration(WithInventory(m_rules), m_rules_version);
 }
 
 std::shared_ptr<const Declaration> ControlService::WithInventory(
@@ -174,10 +174,10 @@
   return joined;
 }
 
-void ControlService::NoteApplied(const std::shared_ptr<const Declaration>& declaration,
-                                 std::uint64_t version) {
+void ControlService::ApplyDeclaration(const std::shared_ptr<const Declaration>& declaration,
+                                      std::uint64_t version) {
   const TimePoint now = MonotonicNow();
-  m_fresh.reset();
+  m_bootstrap.reset();
   m_declaration = declaration;
   m_apply(declaration, version);
   const std::vector<FleetNode> nodes = NodesOf(*declaration);
@@ -186,12 +186,12 @@
   m_regions.store(std::move(regions));
   m_membership.SetInventory(nodes);
   for (const FleetNode& node : nodes) {
-    if (m_links.IsUp(node.id)) m_membership.NoteLinkUp(node.id);
+    if (m_links.IsUp(node.id)) m_membership.OnLinkUp(node.id);
   }
-  m_gossip_budget.SetRate(declaration->budgets.measuring_bytes_per_second / kGossipPartOfBudget);
-  if (m_context.settings.declaration_file.empty()) m_configuration_sync.Plan().NoteHeld(version);
+  m_gossip_budget.SetRate(declaration->budgets.measuring_bytes_per_second / kGossipBudgetDivisor);
+  if (m_context.settings.declaration_file.empty()) m_configuration_sync.Plan().RecordHeld(version);
   m_announce = true;
-  TakeView(now);
+  RefreshView(now);
   const BackendServer* own = declaration->FindServer(m_self.id);
   const Service* service = own == nullptr ? nullptr : declaration->FindService(own->service);
   if (service == nullptr) return;
@@ -203,18 +203,18 @@
 void ControlService::Tick(TimePoint now) {
   TickPause(now);
   TickDrain(now);
-  if (m_fresh) TickFreshStart(now);
+  if (m_bootstrap) TickBootstrap(now);
   for (const ServiceId& service : m_context.router.TakeUsedServices()) {
     const std::vector<ServiceId> used = m_link_plan.UsedServices(now);
     const bool is_new = std::find(used.begin(), used.end(), service) == used.end();
-    m_link_plan.NoteUse(service, now);
+    m_link_plan.RecordUse(service, now);
     if (is_new && m_declaration) UpdateLinks(*m_declaration, now);
   }
   if (m_context.settings.declaration_file.empty()) m_configuration_sync.Tick(now);
   m_vm_list_sync.Tick(now);
   TickInventory(now);
   if (now >= m_next_second) TickSecond(now);
-  if (std::exchange(m_view_changed, false)) TakeView(now);
+  if (std::exchange(m_view_changed, false)) RefreshView(now);
   TickGossip(now);
 }
 
@@ -224,35 +224,36 @@
   const bool list_answers =
       m_vm_list_sync.Plan().Role() == ReaderRole::kFollower || m_vm_list_sync.Plan().StoreAnswers();
   m_vm_list.Tick(now, list_answers);
-  for (const BackendServerId& peer : m_links.Overdue(now)) m_membership.NoteLinkDown(peer);
-  TakeView(now);
+  for (const BackendServerId& peer : m_links.Overdue(now)) m_membership.OnLinkDown(peer);
+  RefreshView(now);
   if (m_declaration) UpdateLinks(*m_declaration, now);
 }
 
-void ControlService::TakeView(TimePoint now) {
+void ControlService::RefreshView(TimePoint now) {
   if (!m_membership.Refresh(now)) return;
   UpdateOverlay(m_membership.PresentNodes());
-  UpdatePlace(now);
+  UpdateReaderAssignment(now);
   if (m_declaration) UpdateLinks(*m_declaration, now);
 }
 
-void ControlService::UpdatePlace(TimePoint now) {
+void ControlService::UpdateReaderAssignment(TimePoint now) {
   const std::vector<FleetNode> live = m_membership.LiveNodes();
-  ReaderPlace place = PlaceOf(live, m_self, m_context.settings.configuration_region);
+  ReaderAssignment assignment =
+      ReaderAssignmentOf(live, m_self, m_context.settings.configuration_region);
   // A node that the live inventory does not list, or not yet, has no place among its readers and
   // peers may not know it, so it watches for itself.
   const bool is_listed =
       std::any_of(live.begin(), live.end(), [&](const auto& node) { return node.id == m_self.id; });
-  if (m_context.seams.has_live_inventory && !is_listed) {
-    place.role = ReaderRole::kWatcher;
-    place.pause = kUnlistedPause;
+  if (m_context.bindings.has_live_inventory && !is_listed) {
+    assignment.role = ReaderRole::kWatcher;
+    assignment.pause = kUnlistedPause;
   }
-  if (place.role != m_configuration_sync.Plan().Role()) {
+  if (assignment.role != m_configuration_sync.Plan().Role()) {
     EventLine(LogPart::kConfiguration, LogLevel::kInfo, "reader_role")
-        .With("role", ReaderRoleName(place.role));
+        .With("role", ReaderRoleName(assignment.role));
   }
-  m_configuration_sync.Plan().SetPlace(place, now);
-  m_vm_list_sync.Plan().SetPlace(place, now);
+  m_configuration_sync.Plan().SetAssignment(assignment, now);
+  m_vm_list_sync.Plan().SetAssignment(assignment, now);
 }
 
 void ControlService::UpdateOverlay(std::span<const FleetNode> nodes) {
@@ -267,7 +268,7 @@
   const auto overlay = Overlay::Build(nodes);
   const auto own = overlay.find(m_self.id);
   const Overlay::Neighbours neighbours = own == overlay.end() ? Overlay::Neighbours() : own->second;
-  m_book.SetNeighbours(neighbours, m_membership.DrainingServers());
+  m_gossip_queue.SetNeighbours(neighbours, m_membership.DrainingServers());
   m_control_peers.assign(neighbours.begin(), neighbours.end());
   std::vector<BackendServerId> candidates = ReaderOrder(nodes, m_self.data_centre);
   candidates.resize(std::min(candidates.size(), kReaderCandidates));
@@ -285,7 +286,7 @@
   LinkNeeds needs = LinkNeedsOf(
       declaration, m_self.id, m_link_plan.UsedServices(now),
       [this](const ServiceId& service) { return m_context.router.SubsetOf(service); },
-      !m_context.seams.convention.request_id.empty());
+      !m_context.bindings.convention.request_id.empty());
   needs.control = m_control_peers;
   const std::set<BackendServerId> wanted = m_link_plan.Wanted(needs, now);
   std::vector<PeerLinks::Target> targets;
@@ -306,38 +307,38 @@
   return {server.id, endpoint, server.peer_public_key};
 }
 
-void ControlService::TickFreshStart(TimePoint now) {
+void ControlService::TickBootstrap(TimePoint now) {
   if (const std::shared_ptr<const Declaration> candidate = m_configuration.Candidate()) {
-    m_fresh->NoteCandidate(now);
+    m_bootstrap->OnCandidateReceived(now);
     // The peers that the candidate names are dialled before their answers are counted.
     const std::shared_ptr<const Declaration> joined = WithInventory(candidate);
     UpdateOverlay(NodesOf(*joined));
     UpdateLinks(*joined, now);
   }
-  PeersAsked peers;
-  peers.asked = m_links.WantedCount();
-  peers.answered = m_links.UpCount();
+  PeerResponses peers;
+  peers.queried = m_links.WantedCount();
+  peers.responded = m_links.UpCount();
   const FetchPlan& plan = m_configuration_sync.Plan();
-  peers.holds_newer = plan.HighestKnown() > m_configuration.CandidateVersion();
-  switch (m_fresh->Next(peers, now)) {
-    case FreshStart::Step::kReadStore:
-      if (now < m_next_fresh_read) return;
-      m_next_fresh_read = now + kSecond;
+  peers.has_newer = plan.HighestKnown() > m_configuration.CandidateVersion();
+  switch (m_bootstrap->Next(peers, now)) {
+    case ConfigurationBootstrap::Step::kReadStore:
+      if (now < m_next_bootstrap_read) return;
+      m_next_bootstrap_read = now + kSecond;
       return m_configuration_sync.Plan().RequestStoreRead(now);
-    case FreshStart::Step::kApplyCandidate:
+    case ConfigurationBootstrap::Step::kApplyCandidate:
       m_overlay_nodes.clear();
       return m_configuration.ApplyCandidate();
-    case FreshStart::Step::kAskSeeds:
-    case FreshStart::Step::kAskPeers:
-    case FreshStart::Step::kFetchFromPeer:
+    case ConfigurationBootstrap::Step::kWaitForSeeds:
+    case ConfigurationBootstrap::Step::kWaitForPeers:
+    case ConfigurationBootstrap::Step::kFetchFromPeer:
       return;
   }
 }
 
 void ControlService::TickDrain(TimePoint now) {
   if (const std::optional<bool> header = m_context.owner.TakeDrainHeader()) {
-    m_drain.NoteHeader(*header, now);
-    m_probe.NoteTold(now);
+    m_drain.OnDrainHeader(*header, now);
+    m_probe.OnDrainHeader(now);
   }
   m_probe.Tick(now);
   // Only changes are passed on: the owner itself notices the header and must not be overruled.
@@ -349,7 +350,7 @@
   m_announced_draining = is_draining;
   const wire::OwnerState state = m_context.owner.State();
   m_context.router.NoteState(m_self.id, state);
-  m_membership.NoteStatement(StatementFrom(m_self.id, state));
+  m_membership.RecordStatement(StatementFrom(m_self.id, state));
   m_view_changed = true;
   m_announce = true;
 }
@@ -368,7 +369,7 @@
 
 void ControlService::StartRefresh(TimePoint now) {
   LogEvent(LogPart::kNode, LogLevel::kWarning, "view_stale");
-  m_refresh_until = now + kRefreshTime;
+  m_refresh_until = now + kRefreshTimeout;
   m_refresh_answered = false;
   ++m_refresh_id;
   std::vector<BackendServerId> peers = m_links.Connected(now);
@@ -435,15 +436,15 @@
     AnnounceToAll(now);
   }
   const std::uint64_t known = m_configuration_sync.Plan().HighestKnown();
-  const bool has_rumour = known > std::exchange(m_announced_known, known);
+  const bool has_newer_version = known > std::exchange(m_announced_known, known);
   const bool is_due = now >= m_next_gossip;
   if (is_due) m_next_gossip = now + kGossipPeriod;
-  for (const BackendServerId& neighbour : m_book.Neighbours()) {
-    const bool is_owed = m_book.IsOwed(neighbour);
-    if (!is_due && !has_rumour && !is_owed) continue;
+  for (const BackendServerId& neighbour : m_gossip_queue.Neighbours()) {
+    const bool has_pending = m_gossip_queue.HasPending(neighbour);
+    if (!is_due && !has_newer_version && !has_pending) continue;
     wire::Gossip gossip = OwnGossip();
-    if (!m_gossip_budget.TryTake(gossip.ByteSizeLong(), now)) break;
-    for (const BackendServerId& server : m_book.Take(neighbour, kStatementsPerGossip)) {
+    if (!m_gossip_budget.TryConsume(gossip.ByteSizeLong(), now)) break;
+    for (const BackendServerId& server : m_gossip_queue.Pop(neighbour, kStatementsPerGossip)) {
       AddStatement(gossip, server);
     }
     SendGossip(neighbour, std::move(gossip), now);
@@ -453,38 +454,38 @@
   AnnounceToAll(now);
 }
 
-void ControlService::NoteLinkUp(const BackendServerId& peer, const wire::OwnerState& state) {
+void ControlService::OnLinkUp(const BackendServerId& peer, const wire::OwnerState& state) {
   const auto handle = [this, peer, state] {
     const TimePoint now = MonotonicNow();
-    m_links.NoteUp(peer);
+    m_links.OnLinkUp(peer);
     EventLine(LogPart::kLink, LogLevel::kInfo, "peer_linked").With("server", peer.Value());
-    m_membership.NoteLinkUp(peer);
-    NotePeerStatement(StatementFrom(peer, state), peer);
-    NotePeerVersions(peer, state.configuration_version(), std::nullopt, now);
-    m_book.Restart(peer, m_membership.DrainingServers());
+    m_membership.OnLinkUp(peer);
+    RecordPeerStatement(StatementFrom(peer, state), peer);
+    RecordPeerVersions(peer, state.configuration_version(), std::nullopt, now);
+    m_gossip_queue.Reset(peer, m_membership.DrainingServers());
     m_view_changed = true;
     SendGossip(peer, OwnGossip(), now);
   };
   QMetaObject::invokeMethod(this, handle, Qt::QueuedConnection);
 }
 
-void ControlService::NoteLinkDown(const BackendServerId& peer) {
+void ControlService::OnLinkDown(const BackendServerId& peer) {
   const auto handle = [this, peer] {
-    m_links.NoteDown(peer);
+    m_links.OnLinkDown(peer);
     EventLine(LogPart::kLink, LogLevel::kInfo, "peer_lost").With("server", peer.Value());
     if (m_links.IsWanted(peer)) {
-      m_membership.NoteLinkDown(peer);
+      m_membership.OnLinkDown(peer);
     } else {
-      m_membership.NoteLinkClosed(peer);
+      m_membership.OnLinkClosed(peer);
     }
-    m_configuration_sync.Plan().ForgetPeer(peer);
-    m_vm_list_sync.Plan().ForgetPeer(peer);
+    m_configuration_sync.Plan().RemovePeer(peer);
+    m_vm_list_sync.Plan().RemovePeer(peer);
     m_view_changed = true;
   };
   QMetaObject::invokeMethod(this, handle, Qt::QueuedConnection);
 }
 
-void ControlService::NoteSendFailed(const BackendServerId& peer, wire::Envelope message) {
+void ControlService::OnSendFailed(const BackendServerId& peer, wire::Envelope message) {
   auto shared = std::make_shared<wire::Envelope>(std::move(message));
   const auto handle = [this, peer, shared] {
     m_links.SendOnAccepted(peer, std::move(*shared), MonotonicNow());
@@ -492,10 +493,10 @@
   QMetaObject::invokeMethod(this, handle, Qt::QueuedConnection);
 }
 
-void ControlService::NoteState(const BackendServerId& peer, const wire::OwnerState& state) {
+void ControlService::OnPeerState(const BackendServerId& peer, const wire::OwnerState& state) {
   const auto handle = [this, peer, state] {
-    NotePeerStatement(StatementFrom(peer, state), peer);
-    NotePeerVersions(peer, state.configuration_version(), std::nullopt, MonotonicNow());
+    RecordPeerStatement(StatementFrom(peer, state), peer);
+    RecordPeerVersions(peer, state.configuration_version(), std::nullopt, MonotonicNow());
   };
   QMetaObject::invokeMethod(this, handle, Qt::QueuedConnection);
 }
@@ -504,7 +505,7 @@
   auto shared = std::make_shared<wire::Envelope>(std::move(message));
   const auto handle = [this, route, shared] {
     const TimePoint now = MonotonicNow();
-    m_links.NoteRoute(route, now);
+    m_links.RecordRoute(route, now);
     if (shared->has_gossip()) return HandleGossip(route, shared->gossip(), now);
     const bool is_list = shared->has_configuration_query()
                              ? shared->configuration_query().document() == wire::DOCUMENT_VM_LIST
@@ -523,11 +524,12 @@
 void ControlService::HandleGossip(const ReplyRoute& route, const wire::Gossip& gossip,
                                   TimePoint now) {
   for (const wire::PeerState& state : gossip.peers()) {
-    if (state.server_id() != m_self.id.Value()) NotePeerStatement(StatementFrom(state), route.peer);
+    if (state.server_id() != m_self.id.Value())
+      RecordPeerStatement(StatementFrom(state), route.peer);
   }
-  NotePeerVersions(route.peer, gossip.configuration_version(), gossip.vm_list_version(), now);
-  m_configuration_sync.Plan().NoteRumour(gossip.known_configuration_version(), now);
-  m_vm_list_sync.Plan().NoteRumour(gossip.known_vm_list_version(), now);
+  RecordPeerVersions(route.peer, gossip.configuration_version(), gossip.vm_list_version(), now);
+  m_configuration_sync.Plan().RecordReportedVersion(gossip.known_configuration_version(), now);
+  m_vm_list_sync.Plan().RecordReportedVersion(gossip.known_vm_list_version(), now);
   if (gossip.answers_refresh_id() == m_refresh_id) m_refresh_answered = true;
   if (gossip.refresh_id() == 0) return;
   wire::Gossip answer = OwnGossip();
@@ -536,18 +538,18 @@
   SendGossip(route.peer, std::move(answer), now);
 }
 
-void ControlService::NotePeerStatement(const PeerStatement& statement,
-                                       const BackendServerId& from) {
-  if (!m_membership.NoteStatement(statement)) return;
-  m_book.NoteNews(statement.server, from);
+void ControlService::RecordPeerStatement(const PeerStatement& statement,
+                                         const BackendServerId& from) {
+  if (!m_membership.RecordStatement(statement)) return;
+  m_gossip_queue.Enqueue(statement.server, from);
   m_view_changed = true;
 }
 
-void ControlService::NotePeerVersions(const BackendServerId& peer, std::uint64_t configuration,
-                                      std::optional<std::uint64_t> vm_list, TimePoint now) {
+void ControlService::RecordPeerVersions(const BackendServerId& peer, std::uint64_t configuration,
+                                        std::optional<std::uint64_t> vm_list, TimePoint now) {
   const FleetNode node = PeerNode(peer);
-  m_configuration_sync.Plan().NotePeer(node, configuration, now);
-  if (vm_list) m_vm_list_sync.Plan().NotePeer(node, *vm_list, now);
+  m_configuration_sync.Plan().RecordPeerVersion(node, configuration, now);
+  if (vm_list) m_vm_list_sync.Plan().RecordPeerVersion(node, *vm_list, now);
 }
 
 FleetNode ControlService::PeerNode(const BackendServerId& peer) const {
@@ -580,7 +582,7 @@
   status.insert("configuration", configuration);
   QJsonObject list;
   list.insert("version", static_cast<qint64>(m_vm_list.HeldVersion()));
-  list.insert("doubted", m_membership.IsListDoubted());
+  list.insert("doubted", m_membership.IsListSuspect());
   list.insert("service_failure", QString::fromStdString(m_vm_list_sync.StoreFailure()));
   status.insert("vm_list", list);
   status.insert("backend_server_leaving", m_drain.IsLeaving());
--- a/src/libs/control/controlservice.h
+++ b/src/libs/control/controlservice.h
@@ -16,17 +16,17 @@
 
 #include "calls/sharedrouter.h"
 #include "calls/viewgate.h"
-#include "configuration/freshstart.h"
-#include "configuration/inventoryhold.h"
-#include "control/configurationkeeper.h"
+#include "configuration/configurationbootstrap.h"
+#include "configuration/inventoryretention.h"
+#include "control/configurationholder.h"
 #include "control/documentsync.h"
 #include "control/healthprobe.h"
 #include "control/membership.h"
-#include "control/nodeseams.h"
 #include "control/peerlinks.h"
-#include "control/vmlistkeeper.h"
+#include "control/platformbindings.h"
+#include "control/vmlistholder.h"
 #include "fleet/draintracker.h"
-#include "fleet/gossipbook.h"
+#include "fleet/gossipqueue.h"
 #include "fleet/linkplan.h"
 #include "owner/ownerservice.h"
 #include "settings/nodesettings.h"
@@ -43,7 +43,7 @@
   OwnerService& owner;
   PeerTransport& transport;
   ViewGate& gate;
-  const NodeSeams& seams;
+  const PlatformBindings& bindings;
 };
 
 // The control role: keeps configuration and VM list up to date, exchanges gossip, decides on links
@@ -52,7 +52,7 @@
 class ControlService : public QObject {
  public:
   // `apply` puts an accepted declaration into force in the other roles.
-  ControlService(ControlContext context, ConfigurationKeeper::ApplyFunction apply);
+  ControlService(ControlContext context, ConfigurationHolder::ApplyFunction apply);
   ~ControlService() override;
 
   // Reads the declaration file, if one is set, or starts to look for a configuration.
@@ -62,15 +62,15 @@
   void Tick(TimePoint now);
 
   // The link that this node dialled to `peer` came up or went down. From any thread.
-  void NoteLinkUp(const BackendServerId& peer, const wire::OwnerState& state);
-  void NoteLinkDown(const BackendServerId& peer);
+  void OnLinkUp(const BackendServerId& peer, const wire::OwnerState& state);
+  void OnLinkDown(const BackendServerId& peer);
 
   // What a peer said of itself on a Pong. From any thread.
-  void NoteState(const BackendServerId& peer, const wire::OwnerState& state);
+  void OnPeerState(const BackendServerId& peer, const wire::OwnerState& state);
 
   // A control message could not be sent on the link dialled to `peer`; it is sent on the one that
   // the peer dialled, if any. From any thread.
-  void NoteSendFailed(const BackendServerId& peer, wire::Envelope message);
+  void OnSendFailed(const BackendServerId& peer, wire::Envelope message);
 
   // Takes Gossip, ConfigurationQuery and ConfigurationPart. From any thread.
   void HandleMessage(const ReplyRoute& route, wire::Envelope message);
@@ -86,32 +86,33 @@
 
  private:
   // Puts accepted rules into force, with the live inventory if there is one.
-  void NoteRules(const std::shared_ptr<const Declaration>& rules, std::uint64_t version);
-  void NoteInventory(const VmList& list, TimePoint now);
+  void OnRulesAccepted(const std::shared_ptr<const Declaration>& rules, std::uint64_t version);
+  void OnInventoryReceived(const VmList& list, TimePoint now);
   void TickInventory(TimePoint now);
   // Puts the live inventory with what is held of it into force.
   void ApplyInventory(TimePoint now);
   void LogInventoryChange(std::span<const BackendServer> after) const;
   std::shared_ptr<const Declaration> WithInventory(
       const std::shared_ptr<const Declaration>& rules) const;
-  void NoteApplied(const std::shared_ptr<const Declaration>& declaration, std::uint64_t version);
-  void TickFreshStart(TimePoint now);
+  void ApplyDeclaration(const std::shared_ptr<const Declaration>& declaration,
+                        std::uint64_t version);
+  void TickBootstrap(TimePoint now);
   void TickSecond(TimePoint now);
   void TickDrain(TimePoint now);
   void TickPause(TimePoint now);
   void TickGossip(TimePoint now);
-  void TakeView(TimePoint now);
+  void RefreshView(TimePoint now);
 
   void DialSeeds();
   void UpdateLinks(const Declaration& declaration, TimePoint now);
   PeerLinks::Target TargetOf(const BackendServer& server) const;
   void UpdateOverlay(std::span<const FleetNode> nodes);
-  void UpdatePlace(TimePoint now);
+  void UpdateReaderAssignment(TimePoint now);
 
   void HandleGossip(const ReplyRoute& route, const wire::Gossip& gossip, TimePoint now);
-  void NotePeerVersions(const BackendServerId& peer, std::uint64_t configuration,
-                        std::optional<std::uint64_t> vm_list, TimePoint now);
-  void NotePeerStatement(const PeerStatement& statement, const BackendServerId& from);
+  void RecordPeerVersions(const BackendServerId& peer, std::uint64_t configuration,
+                          std::optional<std::uint64_t> vm_list, TimePoint now);
+  void RecordPeerStatement(const PeerStatement& statement, const BackendServerId& from);
   wire::Gossip OwnGossip() const;
   void AddStatement(wire::Gossip& gossip, const BackendServerId& server) const;
   void SendGossip(const BackendServerId& peer, wire::Gossip gossip, TimePoint now);
@@ -122,22 +123,22 @@
   using RegionMap = std::unordered_map<BackendServerId, RegionId>;
 
   ControlContext m_context;
-  ConfigurationKeeper::ApplyFunction m_apply;
+  ConfigurationHolder::ApplyFunction m_apply;
   const FleetNode m_self;
   RandomSource m_random;
   Membership m_membership;
   PeerLinks m_links;
-  ConfigurationKeeper m_configuration;
-  VmListKeeper m_vm_list;
+  ConfigurationHolder m_configuration;
+  VmListHolder m_vm_list;
   DocumentSync m_configuration_sync;
   DocumentSync m_vm_list_sync;
   LinkPlan m_link_plan;
-  GossipBook m_book;
+  GossipQueue m_gossip_queue;
   ByteBudget m_gossip_budget;
   DrainTracker m_drain;
   HealthProbe m_probe;
-  std::optional<FreshStart> m_fresh;
-  InventoryHold m_hold;
+  std::optional<ConfigurationBootstrap> m_bootstrap;
+  InventoryRetention m_retention;
   std::shared_ptr<const Declaration> m_rules;  // As accepted.
   std::uint64_t m_rules_version = 0;
   std::optional<std::vector<BackendServer>> m_inventory;  // Live; empty if the declared one counts.
@@ -152,7 +153,7 @@
   bool m_was_leaving = false;           // The backend server, at the last tick.
   std::uint64_t m_announced_known = 0;  // Highest configuration version neighbours were told of.
   TimePoint m_next_second{};
-  TimePoint m_next_fresh_read{};
+  TimePoint m_next_bootstrap_read{};
   TimePoint m_next_gossip{};
   TimePoint m_next_wide_gossip{};
   std::uint64_t m_refresh_id = 0;
--- a/src/libs/control/documentsync.cpp
+++ b/src/libs/control/documentsync.cpp
@@ -22,17 +22,17 @@
 void DocumentSync::Tick(TimePoint now) {
   if (m_reader) {
     if (const std::optional<StoreRead> read = m_plan.StoreReadDue(now)) {
-      m_plan.NoteStoreReadStarted(now, read->wait);
+      m_plan.OnStoreReadStarted(now, read->wait);
       if (m_document == wire::DOCUMENT_CONFIGURATION) m_metrics.Add(Metric::kStoreReads);
       m_reader->Start(*read);
     }
   }
   if (m_transfer && m_transfer->IsStalled(now)) EndTransfer(true, now);
-  if (!m_transfer && m_plan.HighestKnown() > m_plan.Held()) AskPeer(now);
+  if (!m_transfer && m_plan.HighestKnown() > m_plan.Held()) QueryPeer(now);
 }
 
-void DocumentSync::AskPeer(TimePoint now) {
-  const std::optional<BackendServerId> peer = m_plan.PeerToAsk(m_random, now);
+void DocumentSync::QueryPeer(TimePoint now) {
+  const std::optional<BackendServerId> peer = m_plan.PeerToQuery(m_random, now);
   if (!peer) return;
   m_transfer.emplace(*peer, m_plan.Held() + 1, now);
   SendQuery();
@@ -68,7 +68,7 @@
   switch (m_transfer->Add(arrived, now)) {
     case PartTransfer::Progress::kIgnored:
       return;
-    case PartTransfer::Progress::kAskNext:
+    case PartTransfer::Progress::kRequestNext:
       return SendQuery();
     case PartTransfer::Progress::kFailed:
       return EndTransfer(true, now);
@@ -78,39 +78,39 @@
   const OfferResult result = m_holder.OfferDocument(m_transfer->Version(), m_transfer->Text(),
                                                     DocumentSource::kPeer, "peer " + peer.Value());
   const bool is_bad = result == OfferResult::kInvalid;
-  if (!is_bad) m_plan.NoteHeld(m_transfer->Version());
+  if (!is_bad) m_plan.RecordHeld(m_transfer->Version());
   EndTransfer(is_bad, now);
 }
 
 void DocumentSync::EndTransfer(bool failed, TimePoint now) {
-  if (failed) m_plan.NotePeerFailed(m_transfer->Peer(), now);
+  if (failed) m_plan.OnPeerFailed(m_transfer->Peer(), now);
   m_transfer.reset();
 }
 
 void DocumentSync::OnPlatformChanged(std::uint64_t version, std::string_view text) {
-  NoteStoreAnswered();
-  if (m_store_is_far) m_metrics.Add(Metric::kControlPaidLinkBytes, text.size());
-  const bool is_new = version > m_seen;
-  m_seen = std::max(m_seen, version);
+  OnStoreAnswered();
+  if (m_is_store_across_paid_link) m_metrics.Add(Metric::kControlPaidLinkBytes, text.size());
+  const bool is_new = version > m_store_version;
+  m_store_version = std::max(m_store_version, version);
   if (version > 0) {
     const OfferResult result =
         m_holder.OfferDocument(version, text, DocumentSource::kStore, "service");
     if (result == OfferResult::kInvalid) {
-      m_plan.NoteSeen(version);
+      m_plan.RecordStoreVersion(version);
     } else {
-      m_plan.NoteHeld(version);
+      m_plan.RecordHeld(version);
     }
   }
   const TimePoint now = MonotonicNow();
-  if (is_new) return m_plan.NoteStoreChanged(now);
-  m_plan.NoteStoreUnchanged(now);
+  if (is_new) return m_plan.OnStoreReadChanged(now);
+  m_plan.OnStoreReadUnchanged(now);
 }
 
 std::string_view DocumentSync::DocumentName() const {
   return m_document == wire::DOCUMENT_CONFIGURATION ? "configuration" : "vm_list";
 }
 
-void DocumentSync::NoteStoreAnswered() {
+void DocumentSync::OnStoreAnswered() {
   if (m_store_failure.empty()) return;
   m_store_failure.clear();
   EventLine(LogPart::kConfiguration, LogLevel::kInfo, "store_back")
@@ -118,8 +118,8 @@
 }
 
 void DocumentSync::OnPlatformUnchanged() {
-  NoteStoreAnswered();
-  m_plan.NoteStoreUnchanged(MonotonicNow());
+  OnStoreAnswered();
+  m_plan.OnStoreReadUnchanged(MonotonicNow());
 }
 
 void DocumentSync::OnPlatformFailed(std::string_view detail) {
@@ -129,7 +129,7 @@
         .With("detail", detail);
   }
   m_store_failure = detail;
-  m_plan.NoteStoreFailed(m_random, MonotonicNow());
+  m_plan.OnStoreReadFailed(m_random, MonotonicNow());
 }
 
 }  // namespace damaskhollow
--- a/src/libs/control/documentsync.h
+++ b/src/libs/control/documentsync.h
@@ -49,7 +49,7 @@
   const FetchPlan& Plan() const { return m_plan; }
 
   // Whether the service is across the paid link, so that what is read from it counts there.
-  void SetStoreFar(bool is_far) { m_store_is_far = is_far; }
+  void SetStoreAcrossPaidLink(bool is_far) { m_is_store_across_paid_link = is_far; }
 
   // Starts the reads and transfers that are due.
   void Tick(TimePoint now);
@@ -68,8 +68,8 @@
   void OnPlatformFailed(std::string_view detail) override;
 
   std::string_view DocumentName() const;
-  void NoteStoreAnswered();
-  void AskPeer(TimePoint now);
+  void OnStoreAnswered();
+  void QueryPeer(TimePoint now);
   void SendQuery();
   void EndTransfer(bool failed, TimePoint now);
 
@@ -81,8 +81,8 @@
   FetchPlan m_plan;
   std::unique_ptr<DocumentReader> m_reader;
   std::optional<PartTransfer> m_transfer;
-  std::uint64_t m_seen = 0;  // Highest version that the service gave.
-  bool m_store_is_far = false;
+  std::uint64_t m_store_version = 0;  // Highest version that the service gave.
+  bool m_is_store_across_paid_link = false;
   std::string m_store_failure;
 };
 
--- a/src/libs/control/healthprobe.cpp
+++ b/src/libs/control/healthprobe.cpp
@@ -19,7 +19,7 @@
 
 void HealthProbe::Configure(const std::optional<HealthCheck>& health, const Endpoint& server,
                             double probes_per_second) {
-  if (server != m_server) Drop();
+  if (server != m_server) CloseConnection();
   m_server = server;
   m_health.reset();
   if (!health || probes_per_second <= 0.0) return;
@@ -31,7 +31,7 @@
 
 void HealthProbe::Tick(TimePoint now) {
   if (!m_health || m_running) return;
-  if (now - m_last_probe < m_interval || now - m_last_told < m_interval) return;
+  if (now - m_last_probe < m_interval || now - m_last_drain_header < m_interval) return;
   Start(now);
 }
 
@@ -41,7 +41,7 @@
   m_status = 0;
   m_metrics.Add(Metric::kProbes);
   if (!m_connection || !m_connection->IsIdle()) {
-    Drop();
+    CloseConnection();
     m_connection =
         std::make_unique<BackendConnection>(ConnectionId{m_next_connection++}, m_server, *this);
   }
@@ -54,7 +54,7 @@
 }
 
 // The connection may be the sender of the present event.
-void HealthProbe::Drop() {
+void HealthProbe::CloseConnection() {
   m_running = false;
   if (!m_connection) return;
   m_connection->Abort();
@@ -65,17 +65,17 @@
   if (part.head) m_status = part.head->status;
   if (!part.last) return;
   m_running = false;
-  if (!reusable) Drop();
+  if (!reusable) CloseConnection();
   const bool is_leaving = m_health && m_status == m_health->drain_status;
   m_result(is_leaving ? ProbeResult::kLeaving : ProbeResult::kHealthy);
 }
 
 void HealthProbe::OnBackendFailed(ConnectionId, Reason reason, bool may_have_run) {
-  Drop();
+  CloseConnection();
   const bool is_refused = !may_have_run && reason != Reason::kBackendTimeout;
   m_result(is_refused ? ProbeResult::kRefused : ProbeResult::kNoAnswer);
 }
 
-void HealthProbe::OnBackendIdleClosed(ConnectionId) { Drop(); }
+void HealthProbe::OnBackendIdleClosed(ConnectionId) { CloseConnection(); }
 
 }  // namespace damaskhollow
--- a/src/libs/control/healthprobe.h
+++ b/src/libs/control/healthprobe.h
@@ -26,7 +26,7 @@
                  double probes_per_second);
 
   // A call told whether the server is leaving, so the next probe can wait.
-  void NoteTold(TimePoint now) { m_last_told = now; }
+  void OnDrainHeader(TimePoint now) { m_last_drain_header = now; }
 
   // Starts a probe if one is due.
   void Tick(TimePoint now);
@@ -37,7 +37,7 @@
   void OnBackendIdleClosed(ConnectionId connection) override;
 
   void Start(TimePoint now);
-  void Drop();
+  void CloseConnection();
 
   MetricsRegistry& m_metrics;
   ResultFunction m_result;
@@ -49,7 +49,7 @@
   bool m_running = false;
   int m_status = 0;
   TimePoint m_last_probe{};
-  TimePoint m_last_told{};
+  TimePoint m_last_drain_header{};
 };
 
 }  // namespace damaskhollow
--- a/src/libs/control/membership.cpp
+++ b/src/libs/control/membership.cpp
@@ -26,53 +26,53 @@
   m_view.SetListTrusted(trusted);
 }
 
-FleetView::ListResult Membership::NoteList(std::vector<VmEntry> entries) {
+FleetView::ListResult Membership::OfferList(std::vector<VmEntry> entries) {
   const std::lock_guard lock(m_lock);
-  return m_view.NoteList(std::move(entries), MonotonicNow(), WallNow());
+  return m_view.OfferList(std::move(entries), MonotonicNow(), WallNow());
 }
 
-bool Membership::NoteStatement(const PeerStatement& statement) {
+bool Membership::RecordStatement(const PeerStatement& statement) {
   const std::lock_guard lock(m_lock);
   const PeerStatement* known = m_view.StatementOf(statement.server);
   const bool was_draining = known != nullptr && known->draining;
-  return m_view.NoteStatement(statement) && statement.draining != was_draining;
+  return m_view.RecordStatement(statement) && statement.draining != was_draining;
 }
 
-void Membership::NoteLinkUp(const BackendServerId& server) {
+void Membership::OnLinkUp(const BackendServerId& server) {
   const std::lock_guard lock(m_lock);
-  m_view.NoteLinkUp(server);
+  m_view.OnLinkUp(server);
 }
 
-void Membership::NoteLinkDown(const BackendServerId& server) {
+void Membership::OnLinkDown(const BackendServerId& server) {
   const std::lock_guard lock(m_lock);
-  m_view.NoteLinkDown(server);
+  m_view.OnLinkDown(server);
 }
 
-void Membership::NoteLinkClosed(const BackendServerId& server) {
+void Membership::OnLinkClosed(const BackendServerId& server) {
   const std::lock_guard lock(m_lock);
-  m_view.NoteLinkClosed(server);
+  m_view.OnLinkClosed(server);
 }
 
 bool Membership::Refresh(TimePoint now) {
   const std::lock_guard lock(m_lock);
-  std::map<BackendServerId, Standing> standings;
-  bool has_changed = m_standings.size() != m_view.Inventory().size();
+  std::map<BackendServerId, MemberState> states;
+  bool has_changed = m_states.size() != m_view.Inventory().size();
   for (const FleetNode& node : m_view.Inventory()) {
-    const Standing standing = m_view.StandingOf(node.id, now);
-    standings[node.id] = standing;
-    const auto known = m_standings.find(node.id);
-    if (known != m_standings.end() && known->second == standing) continue;
+    const MemberState state = m_view.StateOf(node.id, now);
+    states[node.id] = state;
+    const auto known = m_states.find(node.id);
+    if (known != m_states.end() && known->second == state) continue;
     has_changed = true;
-    m_router.SetEligible(node.id, MayGetWork(standing));
-    const bool is_quiet = known == m_standings.end() && standing == Standing::kLive;
+    m_router.SetEligible(node.id, AcceptsNewWork(state));
+    const bool is_quiet = known == m_states.end() && state == MemberState::kLive;
     if (!is_quiet) {
       EventLine(LogPart::kFleet, LogLevel::kInfo, "standing")
           .With("server", node.id.Value())
-          .With("state", StandingName(standing))
-          .With("detail", StandingReason(standing));
+          .With("state", MemberStateName(state))
+          .With("detail", MemberStateReason(state));
     }
   }
-  m_standings = std::move(standings);
+  m_states = std::move(states);
   return has_changed;
 }
 
@@ -86,7 +86,7 @@
   const TimePoint now = MonotonicNow();
   std::vector<FleetNode> present;
   for (const FleetNode& node : m_view.Inventory()) {
-    if (m_view.StandingOf(node.id, now) != Standing::kGone) present.push_back(node);
+    if (m_view.StateOf(node.id, now) != MemberState::kGone) present.push_back(node);
   }
   return present;
 }
@@ -122,14 +122,14 @@
   return m_view.AbsentSince(server);
 }
 
-Standing Membership::StandingOf(const BackendServerId& server) const {
+MemberState Membership::StateOf(const BackendServerId& server) const {
   const std::lock_guard lock(m_lock);
-  return m_view.StandingOf(server, MonotonicNow());
+  return m_view.StateOf(server, MonotonicNow());
 }
 
-bool Membership::IsListDoubted() const {
+bool Membership::IsListSuspect() const {
   const std::lock_guard lock(m_lock);
-  return m_view.IsListDoubted();
+  return m_view.IsListSuspect();
 }
 
 QJsonArray Membership::Status() const {
@@ -137,11 +137,11 @@
   const TimePoint now = MonotonicNow();
   QJsonArray peers;
   for (const FleetNode& node : m_view.Inventory()) {
-    const Standing standing = m_view.StandingOf(node.id, now);
+    const MemberState state = m_view.StateOf(node.id, now);
     QJsonObject peer;
     peer.insert("server", ToQString(node.id.Value()));
-    peer.insert("state", ToQString(StandingName(standing)));
-    peer.insert("reason", ToQString(StandingReason(standing)));
+    peer.insert("state", ToQString(MemberStateName(state)));
+    peer.insert("reason", ToQString(MemberStateReason(state)));
     peer.insert("linked", m_view.HasLiveLink(node.id));
     if (const PeerStatement* statement = m_view.StatementOf(node.id); statement != nullptr) {
       peer.insert("configuration_version", static_cast<qint64>(statement->configuration_version));
--- a/src/libs/control/membership.h
+++ b/src/libs/control/membership.h
@@ -21,14 +21,14 @@
 
   void SetInventory(std::span<const FleetNode> nodes);
   void SetListTrusted(bool trusted);
-  FleetView::ListResult NoteList(std::vector<VmEntry> entries);
+  FleetView::ListResult OfferList(std::vector<VmEntry> entries);
 
   // Notes a statement. Returns true if it starts or ends a drain, which is worth telling others.
-  bool NoteStatement(const PeerStatement& statement);
+  bool RecordStatement(const PeerStatement& statement);
 
-  void NoteLinkUp(const BackendServerId& server);
-  void NoteLinkDown(const BackendServerId& server);
-  void NoteLinkClosed(const BackendServerId& server);
+  void OnLinkUp(const BackendServerId& server);
+  void OnLinkDown(const BackendServerId& server);
+  void OnLinkClosed(const BackendServerId& server);
 
   // Works out all standings and tells the router of those that changed. Returns true if any did.
   bool Refresh(TimePoint now);
@@ -49,8 +49,8 @@
   // See FleetView::AbsentSince.
   std::optional<WallTime> AbsentSince(const BackendServerId& server) const;
 
-  Standing StandingOf(const BackendServerId& server) const;
-  bool IsListDoubted() const;
+  MemberState StateOf(const BackendServerId& server) const;
+  bool IsListSuspect() const;
 
   // One object for each server of the inventory: id, state, reason, linked, configuration version.
   QJsonArray Status() const;
@@ -59,7 +59,7 @@
   SharedRouter& m_router;
   mutable std::mutex m_lock;
   FleetView m_view;
-  std::map<BackendServerId, Standing> m_standings;
+  std::map<BackendServerId, MemberState> m_states;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/control/peerlinks.cpp
+++ b/src/libs/control/peerlinks.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 // A peer sends gossip at least every 20 s on each link that it dials.
-constexpr std::chrono::seconds kRouteKept{65};
+constexpr std::chrono::seconds kRouteLifetime{65};
 
 // Covers several attempts and the handshakes between regions.
-constexpr std::chrono::seconds kConnectTime{2};
+constexpr std::chrono::seconds kConnectTimeout{2};
 
 }  // namespace
 
@@ -40,25 +40,25 @@
 std::vector<BackendServerId> PeerLinks::Overdue(TimePoint now) const {
   std::vector<BackendServerId> overdue;
   for (const auto& [peer, wanted] : m_wanted) {
-    if (!m_up.contains(peer) && now - wanted.since > kConnectTime) overdue.push_back(peer);
+    if (!m_up.contains(peer) && now - wanted.since > kConnectTimeout) overdue.push_back(peer);
   }
   return overdue;
 }
 
-void PeerLinks::NoteUp(const BackendServerId& peer) {
+void PeerLinks::OnLinkUp(const BackendServerId& peer) {
   if (m_wanted.contains(peer)) m_up.insert(peer);
 }
 
-void PeerLinks::NoteDown(const BackendServerId& peer) { m_up.erase(peer); }
+void PeerLinks::OnLinkDown(const BackendServerId& peer) { m_up.erase(peer); }
 
-void PeerLinks::NoteRoute(const ReplyRoute& route, TimePoint now) {
+void PeerLinks::RecordRoute(const ReplyRoute& route, TimePoint now) {
   if (route.routing_id.empty()) return;
   m_accepted[route.peer] = Accepted{route, now};
 }
 
 bool PeerLinks::HasRoute(const BackendServerId& peer, TimePoint now) const {
   const auto found = m_accepted.find(peer);
-  return found != m_accepted.end() && now - found->second.last_received < kRouteKept;
+  return found != m_accepted.end() && now - found->second.last_received < kRouteLifetime;
 }
 
 std::vector<BackendServerId> PeerLinks::Connected(TimePoint now) const {
--- a/src/libs/control/peerlinks.h
+++ b/src/libs/control/peerlinks.h
@@ -37,11 +37,11 @@
   // The wanted links that have not come up within two seconds.
   std::vector<BackendServerId> Overdue(TimePoint now) const;
 
-  void NoteUp(const BackendServerId& peer);
-  void NoteDown(const BackendServerId& peer);
+  void OnLinkUp(const BackendServerId& peer);
+  void OnLinkDown(const BackendServerId& peer);
 
   // Notes that a peer sent something on the link that it dialled.
-  void NoteRoute(const ReplyRoute& route, TimePoint now);
+  void RecordRoute(const ReplyRoute& route, TimePoint now);
 
   bool IsWanted(const BackendServerId& peer) const { return m_wanted.contains(peer); }
   bool IsUp(const BackendServerId& peer) const { return m_up.contains(peer); }
--- a/src/libs/control/nodeseams.cpp
+++ b/src/libs/control/platformbindings.cpp
@@ -1,4 +1,4 @@
-#include "control/nodeseams.h"
+#include "control/platformbindings.h"
 
 #include <memory>
 
@@ -15,11 +15,11 @@
 
 }  // namespace
 
-NodeSeams OwnSeams(const NodeSettings& settings) {
-  NodeSeams seams;
-  seams.read_configuration = ReadFrom(settings.configuration_url, "/v1/configuration");
-  seams.read_vm_list = ReadFrom(settings.vm_list_url, "/v1/vms");
-  return seams;
+PlatformBindings DefaultPlatformBindings(const NodeSettings& settings) {
+  PlatformBindings bindings;
+  bindings.read_configuration = ReadFrom(settings.configuration_url, "/v1/configuration");
+  bindings.read_vm_list = ReadFrom(settings.vm_list_url, "/v1/vms");
+  return bindings;
 }
 
 }  // namespace damaskhollow
--- a/src/libs/control/nodeseams.h
+++ b/src/libs/control/platformbindings.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKHOLLOW_CONTROL_NODESEAMS_H_
-#define DAMASKHOLLOW_CONTROL_NODESEAMS_H_
+#ifndef DAMASKHOLLOW_CONTROL_PLATFORMBINDINGS_H_
+#define DAMASKHOLLOW_CONTROL_PLATFORMBINDINGS_H_
 
 #include <string>
 
@@ -11,7 +11,7 @@
 namespace damaskhollow {
 
 // What a composition root fills to run a node on a platform.
-struct NodeSeams {
+struct PlatformBindings {
   MakeDocumentReader read_configuration;  // Empty: the configuration service is not read.
   MakeDocumentReader read_vm_list;        // Empty: every inventory entry is taken as live.
   bool store_is_current = false;    // Whether reads are never older than what was acknowledged.
@@ -22,8 +22,8 @@
 };
 
 // The product's own seams: the services that the settings name.
-NodeSeams OwnSeams(const NodeSettings& settings);
+PlatformBindings DefaultPlatformBindings(const NodeSettings& settings);
 
 }  // namespace damaskhollow
 
-#endif  // DAMASKHOLLOW_CONTROL_NODESEAMS_H_
+#endif  // DAMASKHOLLOW_CONTROL_PLATFORMBINDINGS_H_
--- a/src/libs/control/vmlistkeeper.cpp
+++ b/src/libs/control/vmlistholder.cpp
@@ -1,4 +1,4 @@
-#include "control/vmlistkeeper.h"
+#include "control/vmlistholder.h"
 
 #include <optional>
 #include <utility>
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::chrono::seconds kDoubtInterval{10};
+constexpr std::chrono::seconds kSuspectListInterval{10};
 
 }  // namespace
 
-OfferResult VmListKeeper::OfferDocument(std::uint64_t version, std::string_view text,
+OfferResult VmListHolder::OfferDocument(std::uint64_t version, std::string_view text,
                                         DocumentSource, std::string_view name) {
   if (version == m_version) return OfferResult::kUnchanged;
   if (version < m_version) return OfferResult::kOlder;
@@ -26,12 +26,12 @@
   }
   m_version = version;
   m_text = std::string(text);
-  m_last_note = MonotonicNow();
+  m_last_offer = MonotonicNow();
   if (list->inventory) {
-    m_take_inventory(std::move(*list));
+    m_on_inventory(std::move(*list));
   } else {
     m_entries = std::move(list->entries);
-    if (m_membership.NoteList(m_entries) == FleetView::ListResult::kDoubted) {
+    if (m_membership.OfferList(m_entries) == FleetView::ListResult::kSuspect) {
       EventLine(LogPart::kFleet, LogLevel::kWarning, "vm_list_doubted")
           .With("version", static_cast<std::int64_t>(version));
     }
@@ -40,11 +40,11 @@
   return OfferResult::kAccepted;
 }
 
-void VmListKeeper::Tick(TimePoint now, bool source_answers) {
-  if (!source_answers || now - m_last_note < kDoubtInterval) return;
-  if (!m_membership.IsListDoubted()) return;
-  m_last_note = now;
-  m_membership.NoteList(m_entries);
+void VmListHolder::Tick(TimePoint now, bool source_answers) {
+  if (!source_answers || now - m_last_offer < kSuspectListInterval) return;
+  if (!m_membership.IsListSuspect()) return;
+  m_last_offer = now;
+  m_membership.OfferList(m_entries);
   m_changed();
 }
 
--- a/src/libs/control/vmlistkeeper.h
+++ b/src/libs/control/vmlistholder.h
@@ -1,5 +1,5 @@
-#ifndef DAMASKHOLLOW_CONTROL_VMLISTKEEPER_H_
-#define DAMASKHOLLOW_CONTROL_VMLISTKEEPER_H_
+#ifndef DAMASKHOLLOW_CONTROL_VMLISTHOLDER_H_
+#define DAMASKHOLLOW_CONTROL_VMLISTHOLDER_H_
 
 #include <functional>
 #include <string>
@@ -13,16 +13,16 @@
 namespace damaskhollow {
 
 // Holds the node's copy of the VM list and hands it to the membership view.
-class VmListKeeper : public DocumentHolder {
+class VmListHolder : public DocumentHolder {
  public:
   using InventoryFunction = std::function<void(VmList list)>;
 
-  // `take_inventory` gets each list that is a live inventory, which the membership is not told of
+  // `on_inventory` gets each list that is a live inventory, which the membership is not told of
   // here; `changed` is called after each list that was taken or kept aside.
-  VmListKeeper(Membership& membership, InventoryFunction take_inventory,
+  VmListHolder(Membership& membership, InventoryFunction on_inventory,
                std::function<void()> changed)
       : m_membership(membership),
-        m_take_inventory(std::move(take_inventory)),
+        m_on_inventory(std::move(on_inventory)),
         m_changed(std::move(changed)) {}
 
   std::uint64_t HeldVersion() const override { return m_version; }
@@ -35,14 +35,14 @@
 
  private:
   Membership& m_membership;
-  InventoryFunction m_take_inventory;
+  InventoryFunction m_on_inventory;
   std::function<void()> m_changed;
   std::uint64_t m_version = 0;
   std::string m_text;
   std::vector<VmEntry> m_entries;
-  TimePoint m_last_note{};
+  TimePoint m_last_offer{};
 };
 
 }  // namespace damaskhollow
 
-#endif  // DAMASKHOLLOW_CONTROL_VMLISTKEEPER_H_
+#endif  // DAMASKHOLLOW_CONTROL_VMLISTHOLDER_H_
--- a/src/libs/fleet/draintracker.cpp
+++ b/src/libs/fleet/draintracker.cpp
@@ -16,11 +16,11 @@
   m_healthy_probes = 0;
 }
 
-void DrainTracker::NoteHeader(bool leaving, TimePoint) {
+void DrainTracker::OnDrainHeader(bool leaving, TimePoint) {
   if (leaving) StartLeaving();
 }
 
-void DrainTracker::NoteProbe(ProbeResult result, TimePoint now) {
+void DrainTracker::OnProbe(ProbeResult result, TimePoint now) {
   if (result == ProbeResult::kLeaving) return StartLeaving();
   if (!m_leaving) return;
   if (result != ProbeResult::kHealthy) {
--- a/src/libs/fleet/draintracker.h
+++ b/src/libs/fleet/draintracker.h
@@ -22,9 +22,9 @@
 class DrainTracker {
  public:
   // A call's answer carried Damaskhollow-Drain.
-  void NoteHeader(bool leaving, TimePoint now);
+  void OnDrainHeader(bool leaving, TimePoint now);
 
-  void NoteProbe(ProbeResult result, TimePoint now);
+  void OnProbe(ProbeResult result, TimePoint now);
 
   bool IsLeaving() const { return m_leaving; }
 
--- a/src/libs/fleet/fleetview.cpp
+++ b/src/libs/fleet/fleetview.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::chrono::seconds kGoneAfter{10};
-constexpr std::chrono::seconds kDoubtTime{30};
-constexpr std::size_t kDoubtReads = 3;
+constexpr std::chrono::seconds kSuspectListTime{30};
+constexpr std::size_t kSuspectListReads = 3;
 // Request ids are remembered for 10 minutes; the rest covers clock differences and list lag.
-constexpr std::chrono::minutes kRemovedKept{15};
+constexpr std::chrono::minutes kRemovedRetention{15};
 
 // Whether `statement` is later than `known`. A restarted node begins a new sequence.
 bool IsLater(const PeerStatement& statement, const PeerStatement& known) {
@@ -22,23 +22,23 @@
 
 }  // namespace
 
-std::string_view StandingName(Standing standing) {
+std::string_view MemberStateName(MemberState state) {
   static constexpr std::array<std::string_view, 5> kNames{"live", "draining", "leaving", "gone",
                                                           "unreachable"};
-  return kNames[static_cast<std::size_t>(standing)];
+  return kNames[static_cast<std::size_t>(state)];
 }
 
-std::string_view StandingReason(Standing standing) {
+std::string_view MemberStateReason(MemberState state) {
   static constexpr std::array<std::string_view, 5> kReasons{
       "Nothing speaks against it.", "Its owner states that it takes no new work.",
       "The VM list says that it leaves, or it has left the list while its link lives.",
       "It has been absent from the VM list for 10 s and has no live link, or is not declared.",
       "The link to its node is down."};
-  return kReasons[static_cast<std::size_t>(standing)];
+  return kReasons[static_cast<std::size_t>(state)];
 }
 
-bool MayGetWork(Standing standing) {
-  return standing == Standing::kLive || standing == Standing::kUnreachable;
+bool AcceptsNewWork(MemberState state) {
+  return state == MemberState::kLive || state == MemberState::kUnreachable;
 }
 
 FleetView::Member* FleetView::FindMember(const BackendServerId& server) {
@@ -59,48 +59,49 @@
   for (const FleetNode& node : m_inventory) {
     const auto [entry, is_new] = m_members.try_emplace(node.id);
     entry->second.removed.reset();
-    if (is_new && m_has_list) NoteListed(node.id, entry->second, now, wall);
+    if (is_new && m_has_list) UpdateListed(node.id, entry->second, now, wall);
   }
   std::erase_if(m_members, [&](const auto& entry) {
-    return entry.second.removed && now - *entry.second.removed > kRemovedKept;
+    return entry.second.removed && now - *entry.second.removed > kRemovedRetention;
   });
 }
 
-FleetView::ListResult FleetView::NoteList(std::vector<VmEntry> entries, TimePoint now,
-                                          WallTime wall) {
+FleetView::ListResult FleetView::OfferList(std::vector<VmEntry> entries, TimePoint now,
+                                           WallTime wall) {
   std::map<BackendServerId, bool> listed;
   for (VmEntry& entry : entries) listed[std::move(entry.server)] = entry.leaving;
-  if (IsDoubtful(listed)) {
-    if (!m_doubted) m_doubted = DoubtedList{now, 0};
-    ++m_doubted->reads;
-    if (!IsConfirmed(listed, now)) return ListResult::kDoubted;
+  if (IsSuspect(listed)) {
+    if (!m_suspect) m_suspect = SuspectList{now, 0};
+    ++m_suspect->reads;
+    if (!IsConfirmed(listed, now)) return ListResult::kSuspect;
   }
-  m_doubted.reset();
-  TakeList(listed, now, wall);
-  return ListResult::kTaken;
+  m_suspect.reset();
+  AcceptList(listed, now, wall);
+  return ListResult::kAccepted;
 }
 
-bool FleetView::IsDoubtful(const std::map<BackendServerId, bool>& listed) const {
+bool FleetView::IsSuspect(const std::map<BackendServerId, bool>& listed) const {
   if (m_list_trusted) return false;
   return listed.empty() || listed.size() * 2 < m_listed.size();
 }
 
 bool FleetView::IsConfirmed(const std::map<BackendServerId, bool>& listed, TimePoint now) const {
-  if (m_doubted->reads < kDoubtReads || now - m_doubted->since < kDoubtTime) return false;
+  if (m_suspect->reads < kSuspectListReads || now - m_suspect->since < kSuspectListTime)
+    return false;
   return std::none_of(m_members.begin(), m_members.end(), [&](const auto& entry) {
     return entry.second.link == Link::kUp && !listed.contains(entry.first);
   });
 }
 
-void FleetView::TakeList(const std::map<BackendServerId, bool>& listed, TimePoint now,
-                         WallTime wall) {
+void FleetView::AcceptList(const std::map<BackendServerId, bool>& listed, TimePoint now,
+                           WallTime wall) {
   m_listed = listed;
   m_has_list = true;
-  for (auto& [id, member] : m_members) NoteListed(id, member, now, wall);
+  for (auto& [id, member] : m_members) UpdateListed(id, member, now, wall);
 }
 
-void FleetView::NoteListed(const BackendServerId& server, Member& member, TimePoint now,
-                           WallTime wall) const {
+void FleetView::UpdateListed(const BackendServerId& server, Member& member, TimePoint now,
+                             WallTime wall) const {
   const auto found = m_listed.find(server);
   if (found != m_listed.end()) {
     member.leaving = found->second;
@@ -113,7 +114,7 @@
   if (!member.absent_since_wall) member.absent_since_wall = wall;
 }
 
-bool FleetView::NoteStatement(const PeerStatement& statement) {
+bool FleetView::RecordStatement(const PeerStatement& statement) {
   Member* member = FindMember(statement.server);
   if (member == nullptr) return false;
   if (member->statement && !IsLater(statement, *member->statement)) return false;
@@ -121,27 +122,27 @@
   return true;
 }
 
-void FleetView::NoteLinkUp(const BackendServerId& server) {
+void FleetView::OnLinkUp(const BackendServerId& server) {
   if (Member* member = FindMember(server); member != nullptr) member->link = Link::kUp;
 }
 
-void FleetView::NoteLinkDown(const BackendServerId& server) {
+void FleetView::OnLinkDown(const BackendServerId& server) {
   if (Member* member = FindMember(server); member != nullptr) member->link = Link::kDown;
 }
 
-void FleetView::NoteLinkClosed(const BackendServerId& server) {
+void FleetView::OnLinkClosed(const BackendServerId& server) {
   if (Member* member = FindMember(server); member != nullptr) member->link = Link::kUnknown;
 }
 
-Standing FleetView::StandingOf(const BackendServerId& server, TimePoint now) const {
+MemberState FleetView::StateOf(const BackendServerId& server, TimePoint now) const {
   const Member* member = FindMember(server);
-  if (member == nullptr || member->removed) return Standing::kGone;
-  if (member->statement && member->statement->draining) return Standing::kDraining;
-  if (member->leaving) return Standing::kLeaving;
+  if (member == nullptr || member->removed) return MemberState::kGone;
+  if (member->statement && member->statement->draining) return MemberState::kDraining;
+  if (member->leaving) return MemberState::kLeaving;
   const bool is_linked = member->link == Link::kUp;
-  if (member->absent_since && is_linked) return Standing::kLeaving;
-  if (member->absent_since && now - *member->absent_since >= kGoneAfter) return Standing::kGone;
-  return member->link == Link::kDown ? Standing::kUnreachable : Standing::kLive;
+  if (member->absent_since && is_linked) return MemberState::kLeaving;
+  if (member->absent_since && now - *member->absent_since >= kGoneAfter) return MemberState::kGone;
+  return member->link == Link::kDown ? MemberState::kUnreachable : MemberState::kLive;
 }
 
 std::optional<WallTime> FleetView::AbsentSince(const BackendServerId& server) const {
@@ -162,7 +163,7 @@
 std::vector<FleetNode> FleetView::LiveNodes(TimePoint now) const {
   std::vector<FleetNode> live;
   for (const FleetNode& node : m_inventory) {
-    if (StandingOf(node.id, now) == Standing::kLive) live.push_back(node);
+    if (StateOf(node.id, now) == MemberState::kLive) live.push_back(node);
   }
   return live;
 }
--- a/src/libs/fleet/fleetview.h
+++ b/src/libs/fleet/fleetview.h
@@ -16,7 +16,7 @@
 namespace damaskhollow {
 
 // What this node takes a backend server to be.
-enum class Standing {
+enum class MemberState {
   kLive,
   kDraining,     // Its owner says so.
   kLeaving,      // The VM list says so, or it has left the list while its link lives.
@@ -25,14 +25,14 @@
 };
 
 // The name shown in the status, for instance "draining".
-std::string_view StandingName(Standing standing);
+std::string_view MemberStateName(MemberState state);
 
 // One sentence on why a server has this standing.
-std::string_view StandingReason(Standing standing);
+std::string_view MemberStateReason(MemberState state);
 
 // Whether a server with this standing may get new work, as far as membership is concerned. An
 // unreachable one is kept from work by its link until an answer arrives on a new one.
-bool MayGetWork(Standing standing);
+bool AcceptsNewWork(MemberState state);
 
 // What a node says of itself, directly or by way of other nodes.
 struct PeerStatement {
@@ -56,8 +56,8 @@
  public:
   // What came of a VM list.
   enum class ListResult {
-    kTaken,
-    kDoubted,  // Empty or shrunk by more than half; kept aside until it is confirmed.
+    kAccepted,
+    kSuspect,  // Empty or shrunk by more than half; kept aside until it is confirmed.
   };
 
   // Replaces the inventory. Servers that are in both keep what is known of them; one that the list
@@ -67,24 +67,24 @@
 
   // Notes a list as it was read. A doubted list is taken when it has been read three times over
   // 30 s and none of the servers that it lacks has a live link.
-  ListResult NoteList(std::vector<VmEntry> entries, TimePoint now, WallTime wall);
+  ListResult OfferList(std::vector<VmEntry> entries, TimePoint now, WallTime wall);
 
   // Whether lists are taken as they are. A source that loses nothing need not be doubted.
   void SetListTrusted(bool trusted) { m_list_trusted = trusted; }
 
   // Notes a statement. Returns true if it is news: the first of its server, of a later incarnation,
   // or later than the one known.
-  bool NoteStatement(const PeerStatement& statement);
+  bool RecordStatement(const PeerStatement& statement);
 
-  void NoteLinkUp(const BackendServerId& server);
-  void NoteLinkDown(const BackendServerId& server);
+  void OnLinkUp(const BackendServerId& server);
+  void OnLinkDown(const BackendServerId& server);
 
   // The link was closed because it was not used; nothing is known of it from then on.
-  void NoteLinkClosed(const BackendServerId& server);
+  void OnLinkClosed(const BackendServerId& server);
 
   // The standing by the first matching rule of section 6.8. kGone for a server that is not in the
   // inventory.
-  Standing StandingOf(const BackendServerId& server, TimePoint now) const;
+  MemberState StateOf(const BackendServerId& server, TimePoint now) const;
 
   // Since when the server has been absent from every accepted list, on this node's wall clock;
   // empty while it is listed, while no list has been accepted, and for servers that are not
@@ -95,7 +95,7 @@
   const PeerStatement* StatementOf(const BackendServerId& server) const;
 
   bool HasLiveLink(const BackendServerId& server) const;
-  bool IsListDoubted() const { return m_doubted.has_value(); }
+  bool IsListSuspect() const { return m_suspect.has_value(); }
   const std::vector<FleetNode>& Inventory() const { return m_inventory; }
 
   // The nodes of the inventory with standing kLive.
@@ -113,25 +113,25 @@
     std::optional<PeerStatement> statement;
   };
 
-  struct DoubtedList {
+  struct SuspectList {
     TimePoint since{};
     std::size_t reads = 0;
   };
 
   Member* FindMember(const BackendServerId& server);
   const Member* FindMember(const BackendServerId& server) const;
-  void NoteListed(const BackendServerId& server, Member& member, TimePoint now,
-                  WallTime wall) const;
-  bool IsDoubtful(const std::map<BackendServerId, bool>& listed) const;
+  void UpdateListed(const BackendServerId& server, Member& member, TimePoint now,
+                    WallTime wall) const;
+  bool IsSuspect(const std::map<BackendServerId, bool>& listed) const;
   bool IsConfirmed(const std::map<BackendServerId, bool>& listed, TimePoint now) const;
-  void TakeList(const std::map<BackendServerId, bool>& listed, TimePoint now, WallTime wall);
+  void AcceptList(const std::map<BackendServerId, bool>& listed, TimePoint now, WallTime wall);
 
   std::vector<FleetNode> m_inventory;
   std::map<BackendServerId, Member> m_members;
   std::map<BackendServerId, bool> m_listed;  // Of the accepted list: whether it is leaving.
   bool m_has_list = false;
   bool m_list_trusted = false;
-  std::optional<DoubtedList> m_doubted;
+  std::optional<SuspectList> m_suspect;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/fleet/linkplan.cpp
+++ b/src/libs/fleet/linkplan.cpp
@@ -25,8 +25,8 @@
   for (const BackendServer& server : declaration.backend_servers) {
     if (server.id == self) continue;
     needs.inventory.push_back(server.id);
-    const bool is_asked = has_request_ids && own != nullptr && server.service == own->service;
-    if (is_asked) needs.own_service.push_back(server.id);
+    const bool is_queried = has_request_ids && own != nullptr && server.service == own->service;
+    if (is_queried) needs.own_service.push_back(server.id);
   }
   for (const ServiceId& service : used) {
     std::vector<BackendServerId>& subset = needs.subsets[service];
@@ -40,7 +40,7 @@
   return needs;
 }
 
-void LinkPlan::NoteUse(const ServiceId& service, TimePoint now) { m_last_use[service] = now; }
+void LinkPlan::RecordUse(const ServiceId& service, TimePoint now) { m_last_use[service] = now; }
 
 std::vector<ServiceId> LinkPlan::UsedServices(TimePoint now) const {
   std::vector<std::pair<TimePoint, ServiceId>> recent;
--- a/src/libs/fleet/linkplan.h
+++ b/src/libs/fleet/linkplan.h
@@ -44,7 +44,7 @@
 class LinkPlan {
  public:
   // Notes that a call to `service` was routed.
-  void NoteUse(const ServiceId& service, TimePoint now);
+  void RecordUse(const ServiceId& service, TimePoint now);
 
   // The services that were called in the last 60 s, the latest first.
   std::vector<ServiceId> UsedServices(TimePoint now) const;
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -25,16 +25,16 @@
 
 }  // namespace
 
-Node::Node(NodeSettings settings, NodeSeams seams)
+Node::Node(NodeSettings settings, PlatformBindings bindings)
     : m_settings(std::move(settings)),
-      m_seams(std::move(seams)),
+      m_bindings(std::move(bindings)),
       m_identity{m_settings.server_id, Incarnation{SystemSeed()}, WallNow()},
       m_body_budget(m_settings.body_memory_bytes),
       m_router(m_settings.routing_strategy,
                Place{m_settings.server_id, m_settings.region, m_settings.data_centre},
                SystemSeed()),
       m_crash_guard(m_settings.crash_guard),
-      m_owner(m_identity, m_metrics, *this, m_crash_guard, m_seams.convention, m_request_log),
+      m_owner(m_identity, m_metrics, *this, m_crash_guard, m_bindings.convention, m_request_log),
       m_crash_reporter(m_identity.server, m_identity.incarnation, m_crash_guard, m_metrics, *this) {
   m_owner.SetViewGate(&m_gate);
   m_router.SetViewGate(&m_gate);
@@ -70,17 +70,17 @@
   m_ingress = std::make_unique<IngressService>(
       IngressContext{m_identity, m_metrics, *this, m_router, m_crash_guard, m_body_budget,
                      m_declaration, m_caller_connections, m_settings.caller_connections,
-                     absent_since, m_seams.convention, m_seams.own_service, m_request_log,
+                     absent_since, m_bindings.convention, m_bindings.own_service, m_request_log,
                      m_version},
       m_workers);
   m_control = std::make_unique<ControlService>(
       ControlContext{m_settings, m_identity, m_metrics, *this, m_router, m_owner, *m_transport,
-                     m_gate, m_seams},
+                     m_gate, m_bindings},
       [this](const auto& declaration, std::uint64_t version) {
         ApplyDeclaration(declaration, version);
       });
-  if (m_seams.convention.decode_load != nullptr) {
-    m_load_probe = std::make_unique<LoadProbe>(m_seams.convention, m_metrics, m_owner);
+  if (m_bindings.convention.decode_load != nullptr) {
+    m_load_probe = std::make_unique<LoadProbe>(m_bindings.convention, m_metrics, m_owner);
     m_owner.SetLoadProbe([this] { m_load_probe->Request(); });
   }
   if (Result<void> result = m_transport->Start(); !result) return result;
@@ -88,7 +88,7 @@
   if (Result<void> result = m_ingress->Listen(m_settings.listen); !result) return result;
 
   m_admin = std::make_unique<AdminServer>(
-      m_metrics, m_seams.ready_path, [this] { return Status(); }, [this] { return IsReady(); });
+      m_metrics, m_bindings.ready_path, [this] { return Status(); }, [this] { return IsReady(); });
   if (Result<void> result = m_admin->Listen(m_settings.admin_listen); !result) return result;
   connect(&m_timer, &QTimer::timeout, this, &Node::Tick);
   m_timer.start(kTick);
@@ -210,7 +210,7 @@
     m_linked_peers.insert(peer);
     m_metrics.Set(Metric::kLinksUp, m_linked_peers.size());
   }
-  m_control->NoteLinkUp(peer, state);
+  m_control->OnLinkUp(peer, state);
   m_ingress->HandleLinkUp(peer);
 }
 
@@ -222,7 +222,7 @@
     m_linked_peers.erase(peer);
     m_metrics.Set(Metric::kLinksUp, m_linked_peers.size());
   }
-  m_control->NoteLinkDown(peer);
+  m_control->OnLinkDown(peer);
   m_ingress->HandleLinkDown(peer);
 }
 
@@ -240,7 +240,7 @@
     case wire::Envelope::kPong:
       m_router.NoteState(route.peer, message.pong().state());
       m_owner.NotePeerState(route.peer, message.pong().state());
-      m_control->NoteState(route.peer, message.pong().state());
+      m_control->OnPeerState(route.peer, message.pong().state());
       return;
     case wire::Envelope::kGossip:
       for (const wire::CrashReport& report : message.gossip().crash_reports()) {
@@ -264,7 +264,7 @@
 void Node::OnSendFailed(const BackendServerId& peer, wire::Envelope message) {
   const bool is_control =
       message.has_gossip() || message.has_configuration_query() || message.has_configuration_part();
-  if (is_control) return m_control->NoteSendFailed(peer, std::move(message));
+  if (is_control) return m_control->OnSendFailed(peer, std::move(message));
   m_owner.HandleSendFailed(message);
   m_ingress->HandleSendFailed(message);
 }
@@ -280,7 +280,7 @@
   if (!declaration) return peer.IsEmpty() ? false : m_settings.secret_key_file.empty();
   const bool needs_key = !m_settings.secret_key_file.empty();
   // Two nodes may know a change of a live inventory at different times.
-  if (m_seams.has_live_inventory && !needs_key) return !peer.IsEmpty();
+  if (m_bindings.has_live_inventory && !needs_key) return !peer.IsEmpty();
   for (const BackendServer& server : declaration->backend_servers) {
     const bool key_fits = !needs_key || server.peer_public_key == public_key;
     if (key_fits && (peer.IsEmpty() || server.id == peer)) return true;
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -19,7 +19,7 @@
 #include "calls/sharedrouter.h"
 #include "calls/viewgate.h"
 #include "control/controlservice.h"
-#include "control/nodeseams.h"
+#include "control/platformbindings.h"
 #include "http/bodybudget.h"
 #include "ingress/ingressservice.h"
 #include "metrics/metricsregistry.h"
@@ -37,7 +37,7 @@
 // One node: wires the ingress, owner and control roles together. Lives on the main thread.
 class Node : public QObject, public Messenger, public PeerHandler {
  public:
-  Node(NodeSettings settings, NodeSeams seams);
+  Node(NodeSettings settings, PlatformBindings bindings);
   ~Node() override;
 
   // Reads the declaration and opens all ports.
@@ -72,7 +72,7 @@
   QJsonObject Status() const;
 
   const NodeSettings m_settings;
-  const NodeSeams m_seams;
+  const PlatformBindings m_bindings;
   const NodeIdentity m_identity;
   MetricsRegistry m_metrics;
   BodyBudget m_body_budget;
--- a/tests/auto/configuration/tst_fetchplan.cpp
+++ b/tests/auto/configuration/tst_fetchplan.cpp
@@ -2,8 +2,8 @@
 
 #include <array>
 
+#include "configuration/configurationbootstrap.h"
 #include "configuration/fetchplan.h"
-#include "configuration/freshstart.h"
 #include "configuration/parttransfer.h"
 
 namespace damaskhollow {
@@ -20,8 +20,8 @@
 
 TimePoint At(milliseconds since_start) { return TimePoint(seconds(1000)) + since_start; }
 
-ReaderPlace PlaceWith(ReaderRole role, std::vector<BackendServerId> readers) {
-  return ReaderPlace{role, std::move(readers)};
+ReaderAssignment AssignmentWith(ReaderRole role, std::vector<BackendServerId> readers) {
+  return ReaderAssignment{role, std::move(readers)};
 }
 
 }  // namespace
@@ -49,54 +49,55 @@
   void PrefersNearPeers() {
     FetchPlan plan(self_node);
     RandomSource random(1);
-    plan.NotePeer(other_region, 5, At(milliseconds(0)));
-    plan.NotePeer(same_region, 5, At(milliseconds(0)));
-    CPPUNIT_ASSERT(plan.PeerToAsk(random, At(milliseconds(0))) == same_region.id);
-    plan.NotePeer(same_data_centre, 5, At(milliseconds(0)));
-    CPPUNIT_ASSERT(plan.PeerToAsk(random, At(milliseconds(0))) == same_data_centre.id);
-    plan.NotePeer(same_region, 6, At(milliseconds(0)));
-    CPPUNIT_ASSERT(plan.PeerToAsk(random, At(milliseconds(0))) == same_region.id);
-    plan.NoteHeld(6);
-    CPPUNIT_ASSERT(!plan.PeerToAsk(random, At(milliseconds(0))));
+    plan.RecordPeerVersion(other_region, 5, At(milliseconds(0)));
+    plan.RecordPeerVersion(same_region, 5, At(milliseconds(0)));
+    CPPUNIT_ASSERT(plan.PeerToQuery(random, At(milliseconds(0))) == same_region.id);
+    plan.RecordPeerVersion(same_data_centre, 5, At(milliseconds(0)));
+    CPPUNIT_ASSERT(plan.PeerToQuery(random, At(milliseconds(0))) == same_data_centre.id);
+    plan.RecordPeerVersion(same_region, 6, At(milliseconds(0)));
+    CPPUNIT_ASSERT(plan.PeerToQuery(random, At(milliseconds(0))) == same_region.id);
+    plan.RecordHeld(6);
+    CPPUNIT_ASSERT(!plan.PeerToQuery(random, At(milliseconds(0))));
   }
 
   // Guards against each node of a far region fetching its own copy over the paid link.
   void OnlyReadersCrossThePaidLinkInTurn() {
     RandomSource random(1);
     FetchPlan follower(self_node);
-    follower.SetPlace(PlaceWith(ReaderRole::kFollower, {same_region.id}), At(milliseconds(0)));
-    follower.NotePeer(other_region, 5, At(milliseconds(0)));
-    CPPUNIT_ASSERT(!follower.PeerToAsk(random, At(seconds(60))));
+    follower.SetAssignment(AssignmentWith(ReaderRole::kFollower, {same_region.id}),
+                           At(milliseconds(0)));
+    follower.RecordPeerVersion(other_region, 5, At(milliseconds(0)));
+    CPPUNIT_ASSERT(!follower.PeerToQuery(random, At(seconds(60))));
 
     FetchPlan second(self_node);
-    second.SetPlace(PlaceWith(ReaderRole::kStandby, {same_region.id, self_node.id}),
-                    At(milliseconds(0)));
-    second.NotePeer(other_region, 5, At(milliseconds(0)));
-    CPPUNIT_ASSERT(!second.PeerToAsk(random, At(milliseconds(599))));
-    CPPUNIT_ASSERT(second.PeerToAsk(random, At(milliseconds(600))) == other_region.id);
+    second.SetAssignment(AssignmentWith(ReaderRole::kStandby, {same_region.id, self_node.id}),
+                         At(milliseconds(0)));
+    second.RecordPeerVersion(other_region, 5, At(milliseconds(0)));
+    CPPUNIT_ASSERT(!second.PeerToQuery(random, At(milliseconds(599))));
+    CPPUNIT_ASSERT(second.PeerToQuery(random, At(milliseconds(600))) == other_region.id);
   }
 
   // Guards against a fleet that refuses calls for 1.5 s after a restart, as each node waits for
   // peers that start as well.
   void CurrentStoreIsTakenAtOnce() {
     RandomSource random(1);
-    FreshStart fresh(false, false, random, At(milliseconds(0)), true);
-    fresh.NoteCandidate(At(milliseconds(5)));
-    const PeersAsked nobody_answered{8, 0, false};
+    ConfigurationBootstrap fresh(false, false, random, At(milliseconds(0)), true);
+    fresh.OnCandidateReceived(At(milliseconds(5)));
+    const PeerResponses nobody_answered{8, 0, false};
     CPPUNIT_ASSERT(fresh.Next(nobody_answered, At(milliseconds(5))) ==
-                   FreshStart::Step::kApplyCandidate);
+                   ConfigurationBootstrap::Step::kApplyCandidate);
   }
 
   // Guards against a watcher that looks away for 30 s after a read that asked for an answer at
   // once.
   void ImmediateReadDoesNotDelayTheWatch() {
     FetchPlan plan(self_node);
-    plan.SetPlace(PlaceWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
+    plan.SetAssignment(AssignmentWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
     plan.RequestStoreRead(At(milliseconds(0)));
     const std::optional<StoreRead> immediate = plan.StoreReadDue(At(milliseconds(0)));
     CPPUNIT_ASSERT(immediate && immediate->wait.count() == 0);
-    plan.NoteStoreReadStarted(At(milliseconds(0)), immediate->wait);
-    plan.NoteStoreUnchanged(At(milliseconds(10)));
+    plan.OnStoreReadStarted(At(milliseconds(0)), immediate->wait);
+    plan.OnStoreReadUnchanged(At(milliseconds(10)));
     const std::optional<StoreRead> watch = plan.StoreReadDue(At(milliseconds(10)));
     CPPUNIT_ASSERT(watch && watch->wait == kStoreReadInterval);
   }
@@ -105,18 +106,18 @@
   void NodeWithoutInventoryAsksAnyPeer() {
     FetchPlan plan(self_node);
     RandomSource random(1);
-    plan.NotePeer(FleetNode{BackendServerId("seed"), {}, {}}, 5, At(milliseconds(0)));
-    CPPUNIT_ASSERT(plan.PeerToAsk(random, At(milliseconds(0))) == BackendServerId("seed"));
+    plan.RecordPeerVersion(FleetNode{BackendServerId("seed"), {}, {}}, 5, At(milliseconds(0)));
+    CPPUNIT_ASSERT(plan.PeerToQuery(random, At(milliseconds(0))) == BackendServerId("seed"));
   }
 
   void FailedPeerIsPassedOver() {
     FetchPlan plan(self_node);
     RandomSource random(1);
-    plan.NotePeer(same_data_centre, 5, At(milliseconds(0)));
-    plan.NotePeer(same_region, 5, At(milliseconds(0)));
-    plan.NotePeerFailed(same_data_centre.id, At(milliseconds(0)));
-    CPPUNIT_ASSERT(plan.PeerToAsk(random, At(milliseconds(1))) == same_region.id);
-    CPPUNIT_ASSERT(plan.PeerToAsk(random, At(seconds(2))) == same_data_centre.id);
+    plan.RecordPeerVersion(same_data_centre, 5, At(milliseconds(0)));
+    plan.RecordPeerVersion(same_region, 5, At(milliseconds(0)));
+    plan.OnPeerFailed(same_data_centre.id, At(milliseconds(0)));
+    CPPUNIT_ASSERT(plan.PeerToQuery(random, At(milliseconds(1))) == same_region.id);
+    CPPUNIT_ASSERT(plan.PeerToQuery(random, At(seconds(2))) == same_data_centre.id);
   }
 
   // Guards against a fresh node that ignores the last good version of its peers because the service
@@ -124,10 +125,10 @@
   void RefusedStoreVersionLeavesPeersInUse() {
     FetchPlan plan(self_node);
     RandomSource random(1);
-    plan.SetPlace(PlaceWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
-    plan.NoteSeen(6);
-    plan.NotePeer(same_region, 5, At(milliseconds(0)));
-    CPPUNIT_ASSERT(plan.PeerToAsk(random, At(milliseconds(0))) == same_region.id);
+    plan.SetAssignment(AssignmentWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
+    plan.RecordStoreVersion(6);
+    plan.RecordPeerVersion(same_region, 5, At(milliseconds(0)));
+    CPPUNIT_ASSERT(plan.PeerToQuery(random, At(milliseconds(0))) == same_region.id);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, plan.StoreReadDue(At(milliseconds(0)))->after);
   }
 
@@ -142,8 +143,8 @@
                                       Row{ReaderRole::kWatcher, true, kStoreReadInterval}};
     for (const Row& row : kRows) {
       FetchPlan plan(self_node);
-      plan.SetPlace(PlaceWith(row.role, {self_node.id}), At(milliseconds(0)));
-      plan.NoteHeld(4);
+      plan.SetAssignment(AssignmentWith(row.role, {self_node.id}), At(milliseconds(0)));
+      plan.RecordHeld(4);
       const auto read = plan.StoreReadDue(At(milliseconds(0)));
       CPPUNIT_ASSERT_EQUAL(row.reads, read.has_value());
       if (!read) continue;
@@ -155,27 +156,27 @@
   // Guards against a store that ends waits at once and is then read in a loop.
   void UnchangedReadsAreSpacedOut() {
     FetchPlan plan(self_node);
-    plan.SetPlace(PlaceWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
-    plan.NoteStoreReadStarted(At(milliseconds(0)));
+    plan.SetAssignment(AssignmentWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
+    plan.OnStoreReadStarted(At(milliseconds(0)));
     CPPUNIT_ASSERT(!plan.StoreReadDue(At(seconds(60))));
-    plan.NoteStoreUnchanged(At(milliseconds(1)));
+    plan.OnStoreReadUnchanged(At(milliseconds(1)));
     CPPUNIT_ASSERT(!plan.StoreReadDue(At(seconds(29))));
     CPPUNIT_ASSERT(plan.StoreReadDue(At(seconds(30))).has_value());
-    plan.NoteStoreReadStarted(At(seconds(30)));
-    plan.NoteStoreChanged(At(seconds(31)));
+    plan.OnStoreReadStarted(At(seconds(30)));
+    plan.OnStoreReadChanged(At(seconds(31)));
     CPPUNIT_ASSERT(plan.StoreReadDue(At(seconds(31))).has_value());
   }
 
   void BacksOffFromFailingStore() {
     FetchPlan plan(self_node);
     RandomSource random(7);
-    plan.SetPlace(PlaceWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
+    plan.SetAssignment(AssignmentWith(ReaderRole::kWatcher, {self_node.id}), At(milliseconds(0)));
     milliseconds now{0};
     int reads = 0;
     for (; now < seconds(60); now += milliseconds(10)) {
       if (!plan.StoreReadDue(At(now))) continue;
-      plan.NoteStoreReadStarted(At(now));
-      plan.NoteStoreFailed(random, At(now));
+      plan.OnStoreReadStarted(At(now));
+      plan.OnStoreReadFailed(random, At(now));
       ++reads;
     }
     CPPUNIT_ASSERT(!plan.StoreAnswers());
@@ -186,9 +187,9 @@
   void TransferCollectsParts() {
     const std::string text(kPartBytes * 2 + 17, 'x');
     PartTransfer transfer(same_region.id, 3, At(milliseconds(0)));
-    auto progress = PartTransfer::Progress::kAskNext;
+    auto progress = PartTransfer::Progress::kRequestNext;
     for (int part = 0; part < 3; ++part) {
-      CPPUNIT_ASSERT(progress == PartTransfer::Progress::kAskNext);
+      CPPUNIT_ASSERT(progress == PartTransfer::Progress::kRequestNext);
       progress = transfer.Add(PartOf(3, text, transfer.NextOffset()), At(milliseconds(part)));
     }
     CPPUNIT_ASSERT(progress == PartTransfer::Progress::kComplete);
@@ -216,33 +217,39 @@
 
   void FreshNodeAsksPeersFirst() {
     RandomSource random(3);
-    const FreshStart start(true, false, random, At(milliseconds(0)));
+    const ConfigurationBootstrap start(true, false, random, At(milliseconds(0)));
     CPPUNIT_ASSERT(start.Next({2, 0, false}, At(milliseconds(1400))) ==
-                   FreshStart::Step::kAskSeeds);
+                   ConfigurationBootstrap::Step::kWaitForSeeds);
     CPPUNIT_ASSERT(start.Next({2, 1, true}, At(milliseconds(100))) ==
-                   FreshStart::Step::kFetchFromPeer);
-    CPPUNIT_ASSERT(start.Next({2, 0, false}, At(seconds(10))) == FreshStart::Step::kReadStore);
+                   ConfigurationBootstrap::Step::kFetchFromPeer);
+    CPPUNIT_ASSERT(start.Next({2, 0, false}, At(seconds(10))) ==
+                   ConfigurationBootstrap::Step::kReadStore);
   }
 
   // Guards against a restarted node that puts the version of a stale store into force although its
   // peers hold a newer one.
   void FreshNodePrefersPeersToStaleStore() {
     RandomSource random(3);
-    FreshStart start(false, false, random, At(milliseconds(0)));
-    CPPUNIT_ASSERT(start.Next({}, At(seconds(1))) == FreshStart::Step::kReadStore);
-    start.NoteCandidate(At(seconds(1)));
-    CPPUNIT_ASSERT(start.Next({4, 0, false}, At(seconds(1))) == FreshStart::Step::kAskPeers);
-    CPPUNIT_ASSERT(start.Next({4, 1, true}, At(seconds(2))) == FreshStart::Step::kFetchFromPeer);
-    CPPUNIT_ASSERT(start.Next({4, 4, false}, At(seconds(2))) == FreshStart::Step::kApplyCandidate);
+    ConfigurationBootstrap start(false, false, random, At(milliseconds(0)));
+    CPPUNIT_ASSERT(start.Next({}, At(seconds(1))) == ConfigurationBootstrap::Step::kReadStore);
+    start.OnCandidateReceived(At(seconds(1)));
+    CPPUNIT_ASSERT(start.Next({4, 0, false}, At(seconds(1))) ==
+                   ConfigurationBootstrap::Step::kWaitForPeers);
+    CPPUNIT_ASSERT(start.Next({4, 1, true}, At(seconds(2))) ==
+                   ConfigurationBootstrap::Step::kFetchFromPeer);
+    CPPUNIT_ASSERT(start.Next({4, 4, false}, At(seconds(2))) ==
+                   ConfigurationBootstrap::Step::kApplyCandidate);
   }
 
   // The stated limit of section 6.9: if no peer remembers a newer version, the store's is taken.
   void FleetRestartTakesStoreVersion() {
     RandomSource random(3);
-    FreshStart start(false, false, random, At(milliseconds(0)));
-    start.NoteCandidate(At(milliseconds(0)));
-    CPPUNIT_ASSERT(start.Next({4, 0, false}, At(seconds(1))) == FreshStart::Step::kAskPeers);
-    CPPUNIT_ASSERT(start.Next({4, 0, false}, At(seconds(2))) == FreshStart::Step::kApplyCandidate);
+    ConfigurationBootstrap start(false, false, random, At(milliseconds(0)));
+    start.OnCandidateReceived(At(milliseconds(0)));
+    CPPUNIT_ASSERT(start.Next({4, 0, false}, At(seconds(1))) ==
+                   ConfigurationBootstrap::Step::kWaitForPeers);
+    CPPUNIT_ASSERT(start.Next({4, 0, false}, At(seconds(2))) ==
+                   ConfigurationBootstrap::Step::kApplyCandidate);
   }
 };
 
--- a/tests/auto/configuration/tst_inventoryhold.cpp
+++ b/tests/auto/configuration/tst_inventoryhold.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "configuration/inventoryhold.h"
+#include "configuration/inventoryretention.h"
 #include "support/tabletest.h"
 
 namespace damaskhollow {
@@ -33,36 +33,38 @@
   return list;
 }
 
-struct HoldRow {
+struct RetentionRow {
   std::string_view name;
   std::string before;
   std::string after;        // Taken 100 ms later.
   milliseconds held_until;  // 100 ms: nothing is held.
 };
 
-const std::array hold_rows{
-    HoldRow{"left without notice", "abcdefgh", "abcdefg", milliseconds(1100)},
-    HoldRow{"announced its leaving", "abcdefgH", "abcdefg", milliseconds(100)},
-    HoldRow{"lapsed with others", "abcdefgh", "abcdef", milliseconds(2100)},
-    HoldRow{"few of many", "abcdefghijkl", "abcdefghij", milliseconds(1100)},
-    HoldRow{"nothing left", "abc", "", milliseconds(2100)},
+const std::array retention_rows{
+    RetentionRow{"left without notice", "abcdefgh", "abcdefg", milliseconds(1100)},
+    RetentionRow{"announced its leaving", "abcdefgH", "abcdefg", milliseconds(100)},
+    RetentionRow{"lapsed with others", "abcdefgh", "abcdef", milliseconds(2100)},
+    RetentionRow{"few of many", "abcdefghijkl", "abcdefghij", milliseconds(1100)},
+    RetentionRow{"nothing left", "abc", "", milliseconds(2100)},
 };
 
-void TestHold(const HoldRow& row) {
-  InventoryHold hold;
-  hold.Take(ListOf(row.before), At(milliseconds(0)));
-  hold.Take(ListOf(row.after), At(milliseconds(100)));
+void TestRetention(const RetentionRow& row) {
+  InventoryRetention retention;
+  retention.Update(ListOf(row.before), At(milliseconds(0)));
+  retention.Update(ListOf(row.after), At(milliseconds(100)));
   const bool is_held = row.held_until > milliseconds(100);
-  CPPUNIT_ASSERT_EQUAL(is_held, hold.NextEnd().has_value());
-  const auto size = [&](milliseconds time) { return hold.Current(At(time)).inventory->size(); };
+  CPPUNIT_ASSERT_EQUAL(is_held, retention.NextExpiry().has_value());
+  const auto size = [&](milliseconds time) {
+    return retention.Current(At(time)).inventory->size();
+  };
   CPPUNIT_ASSERT_EQUAL(is_held ? row.before.size() : row.after.size(),
                        size(row.held_until - milliseconds(1)));
   CPPUNIT_ASSERT_EQUAL(row.after.size(), size(row.held_until));
-  hold.Expire(At(row.held_until));
-  CPPUNIT_ASSERT(!hold.NextEnd());
+  retention.RemoveExpired(At(row.held_until));
+  CPPUNIT_ASSERT(!retention.NextExpiry());
 }
 
-const test::TableTest<HoldRow> hold_test("InventoryHold", hold_rows, TestHold);
+const test::TableTest<RetentionRow> retention_test("InventoryHold", retention_rows, TestRetention);
 
 }  // namespace
 
@@ -76,20 +78,20 @@
   // Guards against a server that is used beyond its time because lists go on changing (DRAIN on
   // slamplan-mesh, hunt-c706-19).
   void LaterListsDoNotProlongAHold() {
-    InventoryHold hold;
-    hold.Take(ListOf("abcdefgh"), At(milliseconds(0)));
-    hold.Take(ListOf("abcdefg"), At(milliseconds(0)));
-    hold.Take(ListOf("abcdefgi"), At(milliseconds(900)));
-    CPPUNIT_ASSERT(hold.NextEnd() == At(milliseconds(1000)));
+    InventoryRetention retention;
+    retention.Update(ListOf("abcdefgh"), At(milliseconds(0)));
+    retention.Update(ListOf("abcdefg"), At(milliseconds(0)));
+    retention.Update(ListOf("abcdefgi"), At(milliseconds(900)));
+    CPPUNIT_ASSERT(retention.NextExpiry() == At(milliseconds(1000)));
   }
 
   void ServerThatReturnsIsNotHeld() {
-    InventoryHold hold;
-    hold.Take(ListOf("ab"), At(milliseconds(0)));
-    hold.Take(ListOf("a"), At(milliseconds(0)));
-    hold.Take(ListOf("ab"), At(milliseconds(10)));
-    CPPUNIT_ASSERT(!hold.NextEnd());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, hold.Current(At(milliseconds(10))).inventory->size());
+    InventoryRetention retention;
+    retention.Update(ListOf("ab"), At(milliseconds(0)));
+    retention.Update(ListOf("a"), At(milliseconds(0)));
+    retention.Update(ListOf("ab"), At(milliseconds(10)));
+    CPPUNIT_ASSERT(!retention.NextExpiry());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, retention.Current(At(milliseconds(10))).inventory->size());
   }
 };
 
--- a/tests/auto/configuration/tst_propagation.cpp
+++ b/tests/auto/configuration/tst_propagation.cpp
@@ -31,7 +31,7 @@
   std::optional<std::pair<std::uint64_t, milliseconds>> read;  // Its `after` and its end.
   std::optional<std::size_t> transfer_from;
   std::uint64_t announced = 1;  // Highest known version that its neighbours were told of.
-  bool is_dead = false;
+  bool is_down = false;
   bool is_store_silent = false;  // Its reads are never answered.
 };
 
@@ -44,9 +44,9 @@
     for (const FleetNode& node : fleet) {
       index_of[node.id] = m_nodes.size();
       m_nodes.push_back({node, FetchPlan(node), 1, {}, {}, 1, false, false});
-      const ReaderPlace place = PlaceOf(fleet, node, store_region);
-      m_nodes.back().plan.SetPlace(place, At(m_now));
-      m_nodes.back().plan.NoteHeld(1);
+      const ReaderAssignment assignment = ReaderAssignmentOf(fleet, node, store_region);
+      m_nodes.back().plan.SetAssignment(assignment, At(m_now));
+      m_nodes.back().plan.RecordHeld(1);
     }
     m_neighbours.resize(size);
     for (const auto& [id, neighbours] : Overlay::Build(fleet)) {
@@ -80,7 +80,7 @@
 
   bool AllHold(std::uint64_t version) const {
     return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const SimulatedNode& node) {
-      return node.is_dead || node.version == version;
+      return node.is_down || node.version == version;
     });
   }
 
@@ -89,7 +89,7 @@
     std::vector<std::size_t> changed;
     for (std::size_t index = 0; index < m_nodes.size(); ++index) {
       SimulatedNode& node = m_nodes[index];
-      if (node.is_dead) continue;
+      if (node.is_down) continue;
       const std::uint64_t known = node.plan.HighestKnown();
       const bool has_changed = Read(node) || Transfer(node);
       if (has_changed || node.announced < known) changed.push_back(index);
@@ -103,7 +103,7 @@
     const auto due = node.plan.StoreReadDue(At(m_now));
     if (due) {
       node.is_store_silent = node.is_store_silent && !node.read;  // A second connection works.
-      node.plan.NoteStoreReadStarted(At(m_now));
+      node.plan.OnStoreReadStarted(At(m_now));
       ++m_reads;
       node.read = {due->after, m_now + due->wait};
       return false;
@@ -113,12 +113,12 @@
     if (m_store_version > node.read->first) {
       node.read.reset();
       if (node.node.region != near_region) ++m_paid_copies;
-      node.plan.NoteStoreChanged(At(m_now));
+      node.plan.OnStoreReadChanged(At(m_now));
       return Accept(node, m_store_version);
     }
     if (m_now < node.read->second) return false;
     node.read.reset();
-    node.plan.NoteStoreUnchanged(At(m_now));
+    node.plan.OnStoreReadUnchanged(At(m_now));
     return false;
   }
 
@@ -126,9 +126,9 @@
     if (node.transfer_from) {
       const SimulatedNode& from = m_nodes[*std::exchange(node.transfer_from, std::nullopt)];
       if (from.node.region != node.node.region) ++m_paid_copies;
-      return !from.is_dead && Accept(node, from.version);
+      return !from.is_down && Accept(node, from.version);
     }
-    const auto peer = node.plan.PeerToAsk(m_random, At(m_now));
+    const auto peer = node.plan.PeerToQuery(m_random, At(m_now));
     if (!peer) return false;
     for (std::size_t index = 0; index < m_nodes.size(); ++index) {
       if (m_nodes[index].node.id == *peer) node.transfer_from = index;
@@ -139,14 +139,14 @@
   bool Accept(SimulatedNode& node, std::uint64_t version) {
     if (version <= node.version) return false;
     node.version = version;
-    node.plan.NoteHeld(version);
+    node.plan.RecordHeld(version);
     return true;
   }
 
   void Announce(std::size_t from) {
     for (const std::size_t to : m_neighbours[from]) {
-      m_nodes[to].plan.NotePeer(m_nodes[from].node, m_nodes[from].version, At(m_now));
-      m_nodes[to].plan.NoteRumour(m_nodes[from].plan.HighestKnown(), At(m_now));
+      m_nodes[to].plan.RecordPeerVersion(m_nodes[from].node, m_nodes[from].version, At(m_now));
+      m_nodes[to].plan.RecordReportedVersion(m_nodes[from].plan.HighestKnown(), At(m_now));
     }
   }
 
@@ -240,7 +240,7 @@
     std::set<DataCentreId> hit;
     for (SimulatedNode& node : fleet.Nodes()) {
       if (node.plan.Role() == ReaderRole::kFollower) continue;
-      node.is_dead = hit.insert(node.node.data_centre).second;
+      node.is_down = hit.insert(node.node.data_centre).second;
     }
     fleet.Run(seconds(1));
     fleet.Change();
--- a/tests/auto/configuration/tst_readerelection.cpp
+++ b/tests/auto/configuration/tst_readerelection.cpp
@@ -25,7 +25,7 @@
       int watchers_far = 0;
       int standbys = 0;
       for (const FleetNode& node : fleet) {
-        const ReaderRole role = PlaceOf(fleet, node, RegionId("near")).role;
+        const ReaderRole role = ReaderAssignmentOf(fleet, node, RegionId("near")).role;
         if (role == ReaderRole::kStandby) ++standbys;
         if (role != ReaderRole::kWatcher) continue;
         ++(node.region == RegionId("near") ? watchers_near : watchers_far);
@@ -48,7 +48,7 @@
   void AllWatchWhenStoreRegionIsUnknown() {
     const std::vector<FleetNode> fleet = test::MakeFleet(200);
     const auto watchers = std::count_if(fleet.begin(), fleet.end(), [&](const FleetNode& node) {
-      return PlaceOf(fleet, node, RegionId()).role == ReaderRole::kWatcher;
+      return ReaderAssignmentOf(fleet, node, RegionId()).role == ReaderRole::kWatcher;
     });
     CPPUNIT_ASSERT_EQUAL(10L, static_cast<long>(watchers));
   }
@@ -58,9 +58,9 @@
   void PausesLeaveTimeForAChange() {
     // The platform's bound, and the rest of the way: a read, and gossip over two hops.
     constexpr std::chrono::milliseconds kConfigurationBound{2500};
-    constexpr std::chrono::milliseconds kRestOfTheWay{1000};
-    CPPUNIT_ASSERT(kUnlistedPause + kRestOfTheWay <= kConfigurationBound);
-    CPPUNIT_ASSERT(kSuccessorPause + kRestOfTheWay <= kConfigurationBound);
+    constexpr std::chrono::milliseconds kPropagationTime{1000};
+    CPPUNIT_ASSERT(kUnlistedPause + kPropagationTime <= kConfigurationBound);
+    CPPUNIT_ASSERT(kSuccessorPause + kPropagationTime <= kConfigurationBound);
   }
 
   // Guards against a series of changes (a release, many servers that warm up) that each of a
@@ -68,8 +68,8 @@
   void SuccessorsRestAfterChange() {
     const std::vector<FleetNode> fleet = test::MakeFleet(200);
     const auto at_full_pace = std::count_if(fleet.begin(), fleet.end(), [&](const FleetNode& node) {
-      const ReaderPlace place = PlaceOf(fleet, node, RegionId());
-      return place.role == ReaderRole::kWatcher && place.pause.count() == 0;
+      const ReaderAssignment assignment = ReaderAssignmentOf(fleet, node, RegionId());
+      return assignment.role == ReaderRole::kWatcher && assignment.pause.count() == 0;
     });
     CPPUNIT_ASSERT_EQUAL(2L, static_cast<long>(at_full_pace));
   }
--- a/tests/auto/fleet/tst_draintracker.cpp
+++ b/tests/auto/fleet/tst_draintracker.cpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "fleet/draintracker.h"
-#include "fleet/gossipbook.h"
+#include "fleet/gossipqueue.h"
 
 namespace damaskhollow {
 
@@ -60,9 +60,9 @@
   void TakesServerBackAfterProofOnly() {
     for (const DrainCase& row : DrainCases()) {
       DrainTracker tracker;
-      if (row.header) tracker.NoteHeader(true, At(seconds(0)));
+      if (row.header) tracker.OnDrainHeader(true, At(seconds(0)));
       seconds time{0};
-      for (const ProbeResult probe : row.probes) tracker.NoteProbe(probe, At(time += seconds(1)));
+      for (const ProbeResult probe : row.probes) tracker.OnProbe(probe, At(time += seconds(1)));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), row.leaving, tracker.IsLeaving());
     }
   }
@@ -82,24 +82,24 @@
     const BackendServerId first("a");
     const BackendServerId second("b");
     const BackendServerId server("s");
-    GossipBook book;
-    book.SetNeighbours({first, second}, {});
-    book.NoteNews(server, first);
-    CPPUNIT_ASSERT(!book.IsOwed(first));
-    CPPUNIT_ASSERT(book.IsOwed(second));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.Take(second, 50).size());
-    CPPUNIT_ASSERT(!book.IsOwed(second));
+    GossipQueue queue;
+    queue.SetNeighbours({first, second}, {});
+    queue.Enqueue(server, first);
+    CPPUNIT_ASSERT(!queue.HasPending(first));
+    CPPUNIT_ASSERT(queue.HasPending(second));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.Pop(second, 50).size());
+    CPPUNIT_ASSERT(!queue.HasPending(second));
   }
 
   // Guards against a drain that a neighbour never learns of because its link broke.
   void RestartedLinkIsToldAgain() {
     const BackendServerId neighbour("a");
     const std::array<BackendServerId, 1> draining{BackendServerId("s")};
-    GossipBook book;
-    book.SetNeighbours({neighbour}, {});
-    CPPUNIT_ASSERT(!book.IsOwed(neighbour));
-    book.Restart(neighbour, draining);
-    CPPUNIT_ASSERT(book.IsOwed(neighbour));
+    GossipQueue queue;
+    queue.SetNeighbours({neighbour}, {});
+    CPPUNIT_ASSERT(!queue.HasPending(neighbour));
+    queue.Reset(neighbour, draining);
+    CPPUNIT_ASSERT(queue.HasPending(neighbour));
   }
 
   void BudgetBoundsBytes() {
@@ -107,7 +107,8 @@
     budget.SetRate(1000);
     std::size_t taken = 0;
     for (int step = 0; step < 1000; ++step) {
-      if (budget.TryTake(100, At(seconds(0)) + std::chrono::milliseconds(10 * step))) taken += 100;
+      if (budget.TryConsume(100, At(seconds(0)) + std::chrono::milliseconds(10 * step)))
+        taken += 100;
     }
     // Ten seconds, one second's worth in store and one message of overdraft.
     CPPUNIT_ASSERT(taken <= 11100);
--- a/tests/auto/fleet/tst_fleetview.cpp
+++ b/tests/auto/fleet/tst_fleetview.cpp
@@ -30,7 +30,7 @@
 FleetView MakeView(std::size_t count) {
   FleetView view;
   view.SetInventory(test::MakeFleet(count), At(seconds(0)), WallAt(seconds(0)));
-  view.NoteList(ListOf(0, count), At(seconds(0)), WallAt(seconds(0)));
+  view.OfferList(ListOf(0, count), At(seconds(0)), WallAt(seconds(0)));
   return view;
 }
 
@@ -38,44 +38,44 @@
 enum class Link { kUnknown, kUp, kDown };
 
 // What is known of a server, and the standing that follows by the rule of section 6.8.
-struct StandingCase {
+struct StateCase {
   std::string_view name;
   std::optional<bool> stated_draining;
   Listed listed;
   seconds absent_for;
   Link link;
-  Standing standing;
+  MemberState state;
 };
 
-constexpr std::array kStandingCases{
-    StandingCase{"nothing known", {}, Listed::kNever, seconds(0), Link::kUnknown, Standing::kLive},
-    StandingCase{"statement goes before list", true, Listed::kLive, seconds(0), Link::kUp,
-                 Standing::kDraining},
-    StandingCase{"statement goes before link", true, Listed::kAbsent, seconds(20), Link::kDown,
-                 Standing::kDraining},
-    StandingCase{"leaving by list", false, Listed::kLeaving, seconds(0), Link::kUp,
-                 Standing::kLeaving},
-    StandingCase{"leaving by list, link down", false, Listed::kLeaving, seconds(0), Link::kDown,
-                 Standing::kLeaving},
-    StandingCase{"absent with live link", false, Listed::kAbsent, seconds(20), Link::kUp,
-                 Standing::kLeaving},
-    StandingCase{
-        "absent for 10 s", {}, Listed::kAbsent, seconds(10), Link::kUnknown, Standing::kGone},
-    StandingCase{"absent for 9 s, link down",
-                 {},
-                 Listed::kAbsent,
-                 seconds(9),
-                 Link::kDown,
-                 Standing::kUnreachable},
-    StandingCase{"absent for 9 s, no link",
-                 {},
-                 Listed::kAbsent,
-                 seconds(9),
-                 Link::kUnknown,
-                 Standing::kLive},
-    StandingCase{"link down", false, Listed::kLive, seconds(0), Link::kDown,
-                 Standing::kUnreachable},
-    StandingCase{"live", false, Listed::kLive, seconds(0), Link::kUp, Standing::kLive},
+constexpr std::array kStateCases{
+    StateCase{"nothing known", {}, Listed::kNever, seconds(0), Link::kUnknown, MemberState::kLive},
+    StateCase{"statement goes before list", true, Listed::kLive, seconds(0), Link::kUp,
+              MemberState::kDraining},
+    StateCase{"statement goes before link", true, Listed::kAbsent, seconds(20), Link::kDown,
+              MemberState::kDraining},
+    StateCase{"leaving by list", false, Listed::kLeaving, seconds(0), Link::kUp,
+              MemberState::kLeaving},
+    StateCase{"leaving by list, link down", false, Listed::kLeaving, seconds(0), Link::kDown,
+              MemberState::kLeaving},
+    StateCase{"absent with live link", false, Listed::kAbsent, seconds(20), Link::kUp,
+              MemberState::kLeaving},
+    StateCase{
+        "absent for 10 s", {}, Listed::kAbsent, seconds(10), Link::kUnknown, MemberState::kGone},
+    StateCase{"absent for 9 s, link down",
+              {},
+              Listed::kAbsent,
+              seconds(9),
+              Link::kDown,
+              MemberState::kUnreachable},
+    StateCase{"absent for 9 s, no link",
+              {},
+              Listed::kAbsent,
+              seconds(9),
+              Link::kUnknown,
+              MemberState::kLive},
+    StateCase{"link down", false, Listed::kLive, seconds(0), Link::kDown,
+              MemberState::kUnreachable},
+    StateCase{"live", false, Listed::kLive, seconds(0), Link::kUp, MemberState::kLive},
 };
 
 }  // namespace
@@ -94,19 +94,19 @@
 
  public:
   void FirstMatchingRuleDecides() {
-    for (const StandingCase& row : kStandingCases) {
+    for (const StateCase& row : kStateCases) {
       FleetView view;
       view.SetInventory(test::MakeFleet(5), At(seconds(0)), WallAt(seconds(0)));
       if (row.stated_draining) {
-        view.NoteStatement({server_zero, Incarnation{1}, 1, *row.stated_draining, 0, 1});
+        view.RecordStatement({server_zero, Incarnation{1}, 1, *row.stated_draining, 0, 1});
       }
       std::vector<VmEntry> list = ListOf(row.listed == Listed::kAbsent ? 1 : 0, 5);
       list.front().leaving = row.listed == Listed::kLeaving;
-      if (row.listed != Listed::kNever) view.NoteList(list, At(seconds(0)), WallAt(seconds(0)));
-      if (row.link == Link::kUp) view.NoteLinkUp(server_zero);
-      if (row.link == Link::kDown) view.NoteLinkDown(server_zero);
+      if (row.listed != Listed::kNever) view.OfferList(list, At(seconds(0)), WallAt(seconds(0)));
+      if (row.link == Link::kUp) view.OnLinkUp(server_zero);
+      if (row.link == Link::kDown) view.OnLinkDown(server_zero);
       CPPUNIT_ASSERT_MESSAGE(std::string(row.name),
-                             view.StandingOf(server_zero, At(row.absent_for)) == row.standing);
+                             view.StateOf(server_zero, At(row.absent_for)) == row.state);
     }
   }
 
@@ -114,22 +114,22 @@
   // the process that stated it.
   void StatementsAreOrdered() {
     FleetView view = MakeView(5);
-    CPPUNIT_ASSERT(view.NoteStatement({server_zero, Incarnation{9}, 5, true, 0, 100}));
-    CPPUNIT_ASSERT(!view.NoteStatement({server_zero, Incarnation{9}, 4, false, 0, 100}));
-    CPPUNIT_ASSERT(view.StandingOf(server_zero, At(seconds(0))) == Standing::kDraining);
-    CPPUNIT_ASSERT(view.NoteStatement({server_zero, Incarnation{3}, 1, false, 0, 200}));
-    CPPUNIT_ASSERT(view.StandingOf(server_zero, At(seconds(0))) == Standing::kLive);
-    CPPUNIT_ASSERT(!view.NoteStatement({server_zero, Incarnation{9}, 6, true, 0, 100}));
-    CPPUNIT_ASSERT(view.StandingOf(server_zero, At(seconds(0))) == Standing::kLive);
+    CPPUNIT_ASSERT(view.RecordStatement({server_zero, Incarnation{9}, 5, true, 0, 100}));
+    CPPUNIT_ASSERT(!view.RecordStatement({server_zero, Incarnation{9}, 4, false, 0, 100}));
+    CPPUNIT_ASSERT(view.StateOf(server_zero, At(seconds(0))) == MemberState::kDraining);
+    CPPUNIT_ASSERT(view.RecordStatement({server_zero, Incarnation{3}, 1, false, 0, 200}));
+    CPPUNIT_ASSERT(view.StateOf(server_zero, At(seconds(0))) == MemberState::kLive);
+    CPPUNIT_ASSERT(!view.RecordStatement({server_zero, Incarnation{9}, 6, true, 0, 100}));
+    CPPUNIT_ASSERT(view.StateOf(server_zero, At(seconds(0))) == MemberState::kLive);
   }
 
   void NewLinkProvesServer() {
     FleetView view = MakeView(5);
-    view.NoteLinkUp(server_zero);
-    view.NoteLinkDown(server_zero);
-    CPPUNIT_ASSERT(view.StandingOf(server_zero, At(seconds(600))) == Standing::kUnreachable);
-    view.NoteLinkUp(server_zero);
-    CPPUNIT_ASSERT(view.StandingOf(server_zero, At(seconds(600))) == Standing::kLive);
+    view.OnLinkUp(server_zero);
+    view.OnLinkDown(server_zero);
+    CPPUNIT_ASSERT(view.StateOf(server_zero, At(seconds(600))) == MemberState::kUnreachable);
+    view.OnLinkUp(server_zero);
+    CPPUNIT_ASSERT(view.StateOf(server_zero, At(seconds(600))) == MemberState::kLive);
   }
 
   // Guards against an empty or truncated list that takes most of the fleet out of work.
@@ -139,53 +139,53 @@
       FleetView::ListResult result;
     };
     static constexpr std::array kRows{
-        Row{0, FleetView::ListResult::kDoubted}, Row{4, FleetView::ListResult::kDoubted},
-        Row{5, FleetView::ListResult::kTaken}, Row{9, FleetView::ListResult::kTaken}};
+        Row{0, FleetView::ListResult::kSuspect}, Row{4, FleetView::ListResult::kSuspect},
+        Row{5, FleetView::ListResult::kAccepted}, Row{9, FleetView::ListResult::kAccepted}};
     for (const Row& row : kRows) {
       FleetView view = MakeView(10);
-      const auto result = view.NoteList(ListOf(0, row.size), At(seconds(1)), WallAt(seconds(1)));
+      const auto result = view.OfferList(ListOf(0, row.size), At(seconds(1)), WallAt(seconds(1)));
       CPPUNIT_ASSERT(result == row.result);
       const bool is_kept =
-          view.StandingOf(BackendServerId("server-9"), At(seconds(60))) == Standing::kLive;
-      CPPUNIT_ASSERT_EQUAL(row.result == FleetView::ListResult::kDoubted, is_kept);
+          view.StateOf(BackendServerId("server-9"), At(seconds(60))) == MemberState::kLive;
+      CPPUNIT_ASSERT_EQUAL(row.result == FleetView::ListResult::kSuspect, is_kept);
     }
   }
 
   void DoubtedListIsTakenAfterThreeReads() {
     FleetView view = MakeView(10);
-    CPPUNIT_ASSERT(view.NoteList({}, At(seconds(1)), WallAt(seconds(1))) ==
-                   FleetView::ListResult::kDoubted);
-    CPPUNIT_ASSERT(view.NoteList({}, At(seconds(11)), WallAt(seconds(11))) ==
-                   FleetView::ListResult::kDoubted);
-    CPPUNIT_ASSERT(view.NoteList({}, At(seconds(21)), WallAt(seconds(21))) ==
-                   FleetView::ListResult::kDoubted);
-    CPPUNIT_ASSERT(view.NoteList({}, At(seconds(31)), WallAt(seconds(31))) ==
-                   FleetView::ListResult::kTaken);
+    CPPUNIT_ASSERT(view.OfferList({}, At(seconds(1)), WallAt(seconds(1))) ==
+                   FleetView::ListResult::kSuspect);
+    CPPUNIT_ASSERT(view.OfferList({}, At(seconds(11)), WallAt(seconds(11))) ==
+                   FleetView::ListResult::kSuspect);
+    CPPUNIT_ASSERT(view.OfferList({}, At(seconds(21)), WallAt(seconds(21))) ==
+                   FleetView::ListResult::kSuspect);
+    CPPUNIT_ASSERT(view.OfferList({}, At(seconds(31)), WallAt(seconds(31))) ==
+                   FleetView::ListResult::kAccepted);
     CPPUNIT_ASSERT(view.AbsentSince(server_zero) == WallAt(seconds(31)));
   }
 
   void DoubtedListWaitsForLiveLinks() {
     FleetView view = MakeView(10);
-    view.NoteLinkUp(server_zero);
+    view.OnLinkUp(server_zero);
     for (int read = 0; read < 10; ++read) {
       const seconds time(10 * read);
-      CPPUNIT_ASSERT(view.NoteList({}, At(time), WallAt(time)) == FleetView::ListResult::kDoubted);
+      CPPUNIT_ASSERT(view.OfferList({}, At(time), WallAt(time)) == FleetView::ListResult::kSuspect);
     }
-    view.NoteLinkDown(server_zero);
-    CPPUNIT_ASSERT(view.NoteList({}, At(seconds(100)), WallAt(seconds(100))) ==
-                   FleetView::ListResult::kTaken);
+    view.OnLinkDown(server_zero);
+    CPPUNIT_ASSERT(view.OfferList({}, At(seconds(100)), WallAt(seconds(100))) ==
+                   FleetView::ListResult::kAccepted);
   }
 
   // The at-most-once rule relies on this time, so it must never be too early.
   void AbsenceIsDatedByFirstList() {
     FleetView view = MakeView(10);
     CPPUNIT_ASSERT(!view.AbsentSince(server_zero));
-    view.NoteList(ListOf(1, 10), At(seconds(5)), WallAt(seconds(5)));
-    view.NoteList(ListOf(2, 10), At(seconds(9)), WallAt(seconds(9)));
+    view.OfferList(ListOf(1, 10), At(seconds(5)), WallAt(seconds(5)));
+    view.OfferList(ListOf(2, 10), At(seconds(9)), WallAt(seconds(9)));
     CPPUNIT_ASSERT(view.AbsentSince(server_zero) == WallAt(seconds(5)));
-    view.NoteList(ListOf(0, 10), At(seconds(12)), WallAt(seconds(12)));
+    view.OfferList(ListOf(0, 10), At(seconds(12)), WallAt(seconds(12)));
     CPPUNIT_ASSERT(!view.AbsentSince(server_zero));
-    view.NoteList(ListOf(1, 10), At(seconds(20)), WallAt(seconds(20)));
+    view.OfferList(ListOf(1, 10), At(seconds(20)), WallAt(seconds(20)));
     CPPUNIT_ASSERT(view.AbsentSince(server_zero) == WallAt(seconds(20)));
   }
 
@@ -194,9 +194,9 @@
     std::vector<FleetNode> fewer = test::MakeFleet(10);
     fewer.erase(fewer.begin());
     view.SetInventory(fewer, At(seconds(5)), WallAt(seconds(5)));
-    CPPUNIT_ASSERT(view.StandingOf(server_zero, At(seconds(5))) == Standing::kGone);
+    CPPUNIT_ASSERT(view.StateOf(server_zero, At(seconds(5))) == MemberState::kGone);
     CPPUNIT_ASSERT(!view.AbsentSince(server_zero));
-    view.NoteList(ListOf(1, 10), At(seconds(8)), WallAt(seconds(8)));
+    view.OfferList(ListOf(1, 10), At(seconds(8)), WallAt(seconds(8)));
     CPPUNIT_ASSERT(view.AbsentSince(server_zero) == WallAt(seconds(8)));
     view.SetInventory(fewer, At(seconds(1000)), WallAt(seconds(1000)));
     CPPUNIT_ASSERT(!view.AbsentSince(server_zero));
--- a/tests/auto/fleet/tst_linkplan.cpp
+++ b/tests/auto/fleet/tst_linkplan.cpp
@@ -45,7 +45,7 @@
     needs.subsets[ServiceId("lookup")] = Servers("lookup-", 12);
     LinkPlan plan;
     CPPUNIT_ASSERT_EQUAL(std::size_t{43}, plan.Wanted(needs, At(seconds(0))).size());
-    plan.NoteUse(ServiceId("lookup"), At(seconds(0)));
+    plan.RecordUse(ServiceId("lookup"), At(seconds(0)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{55}, plan.Wanted(needs, At(seconds(59))).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{43}, plan.Wanted(needs, At(seconds(60))).size());
   }
@@ -59,7 +59,7 @@
     for (int service = 0; service < 46; ++service) {
       const ServiceId id("service-" + std::to_string(service));
       needs.subsets[id] = Servers(id.Value() + "-", 12);
-      plan.NoteUse(id, At(seconds(service)));
+      plan.RecordUse(id, At(seconds(service)));
     }
     const std::set<BackendServerId> wanted = plan.Wanted(needs, At(seconds(50)));
     CPPUNIT_ASSERT_EQUAL(kMaxLinks, wanted.size());
@@ -85,7 +85,7 @@
           [](const ServiceId&) { return Servers("server-", 12); }, has_request_ids);
     };
     LinkPlan plan;
-    plan.NoteUse(used.front(), At(seconds(0)));
+    plan.RecordUse(used.front(), At(seconds(0)));
     CPPUNIT_ASSERT_EQUAL(std::size_t{11}, plan.Wanted(needs_of(false), At(seconds(1))).size());
     CPPUNIT_ASSERT_EQUAL(std::size_t{59}, plan.Wanted(needs_of(true), At(seconds(1))).size());
   }
