--- a/src/libs/configuration/configurationbootstrap.cpp
+++ b/src/libs/configuration/configurationbootstrap.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // Covers two connection attempts with handshakes between regions.
-constexpr std::chrono::milliseconds kPeerWait{1500};
+constexpr std::chrono::milliseconds kPeerResponseTimeout{1500};
 // Upper bounds of the random delay that spreads the reads when a whole fleet starts at once.
 constexpr std::chrono::milliseconds kReadSpread{3000};
 constexpr std::chrono::milliseconds kSeedReadSpread{200};
@@ -19,8 +19,8 @@
 ConfigurationBootstrap::ConfigurationBootstrap(bool has_seeds, bool is_seed, RandomSource& random,
                                                TimePoint now, bool store_is_current)
     : m_store_is_current(store_is_current), m_read_store_at(now + Spread(kSeedReadSpread, random)) {
-  if (has_seeds && is_seed) m_read_store_at += kPeerWait;
-  if (has_seeds && !is_seed) m_read_store_at += kPeerWait + Spread(kReadSpread, random);
+  if (has_seeds && is_seed) m_read_store_at += kPeerResponseTimeout;
+  if (has_seeds && !is_seed) m_read_store_at += kPeerResponseTimeout + Spread(kReadSpread, random);
 }
 
 void ConfigurationBootstrap::OnCandidateReceived(TimePoint now) {
@@ -32,7 +32,7 @@
   if (m_candidate_since && m_store_is_current) return Step::kApplyCandidate;
   if (m_candidate_since) {
     const bool all_responded = peers.responded >= peers.queried;
-    const bool is_late = now >= *m_candidate_since + kPeerWait;
+    const bool is_late = now >= *m_candidate_since + kPeerResponseTimeout;
     if (peers.has_newer && !is_late) return Step::kFetchFromPeer;
     return all_responded || is_late ? Step::kApplyCandidate : Step::kWaitForPeers;
   }
--- a/src/libs/configuration/fetchplan.cpp
+++ b/src/libs/configuration/fetchplan.cpp
@@ -10,11 +10,11 @@
 // How long each reader of a region has before the next one also fetches over the paid link. Covers
 // the transfer of one 64 KB part over the link with a round-trip time of 60 ms.
 constexpr std::chrono::milliseconds kTurnDuration{300};
-constexpr std::chrono::milliseconds kPeerRetry{1000};
+constexpr std::chrono::milliseconds kPeerRetryDelay{1000};
 // Retries of a service that is down start at 0.5 s and back off to one in 5 s, because a change
 // must be active 5 s after the service accepted it.
-constexpr std::chrono::milliseconds kFirstRetry{500};
-constexpr std::chrono::milliseconds kLongestRetry{5000};
+constexpr std::chrono::milliseconds kInitialRetryDelay{500};
+constexpr std::chrono::milliseconds kMaxRetryDelay{5000};
 constexpr unsigned kMaxDoublings = 4;
 
 }  // namespace
@@ -46,7 +46,7 @@
 
 void FetchPlan::OnPeerFailed(const BackendServerId& peer, TimePoint now) {
   const auto found = m_peers.find(peer);
-  if (found != m_peers.end()) found->second.not_before = now + kPeerRetry;
+  if (found != m_peers.end()) found->second.not_before = now + kPeerRetryDelay;
 }
 
 void FetchPlan::RecordHeld(std::uint64_t version) {
@@ -143,8 +143,8 @@
 
 void FetchPlan::OnStoreReadFailed(RandomSource& random, TimePoint now) {
   m_reading = false;
-  const Duration longest =
-      std::min<Duration>(kFirstRetry * (1U << std::min(m_failures, kMaxDoublings)), kLongestRetry);
+  const Duration longest = std::min<Duration>(
+      kInitialRetryDelay * (1U << std::min(m_failures, kMaxDoublings)), kMaxRetryDelay);
   ++m_failures;
   const auto jitter =
       static_cast<Duration::rep>(static_cast<double>(longest.count()) / 2.0 * random.Unit());
--- a/src/libs/configuration/fetchplan.h
+++ b/src/libs/configuration/fetchplan.h
@@ -86,7 +86,7 @@
 
   ReaderRole Role() const { return m_assignment.role; }
   // Whether the last read of the service succeeded.
-  bool StoreAnswers() const { return m_failures == 0; }
+  bool IsStoreReachable() const { return m_failures == 0; }
 
  private:
   struct Peer {
--- a/src/libs/configuration/platformreader.cpp
+++ b/src/libs/configuration/platformreader.cpp
@@ -14,7 +14,7 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusNotModified = 304;
 // Added to the requested wait. Covers the transfer of 1 MB over a paid link under load.
-constexpr std::chrono::milliseconds kAnswerTimeout{3000};
+constexpr std::chrono::milliseconds kResponseTimeout{3000};
 constexpr char kVersionHeader[] = "Damaskhollow-Version";
 
 }  // namespace
@@ -50,7 +50,7 @@
   m_reply = m_network.get(request);
   connect(m_reply, &QNetworkReply::downloadProgress, this, &PlatformReader::CheckSize);
   connect(m_reply, &QNetworkReply::finished, this, &PlatformReader::Finish);
-  m_timer.start(read.wait + kAnswerTimeout);
+  m_timer.start(read.wait + kResponseTimeout);
 }
 
 void PlatformReader::CheckSize() {
--- a/src/libs/configuration/versionguard.cpp
+++ b/src/libs/configuration/versionguard.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxRefusedKept = 8;
+constexpr std::size_t kMaxRefusedVersions = 8;
 // Operators fix the first errors and retry, so more entries would only use memory.
-constexpr std::size_t kMaxFailuresKept = 20;
+constexpr std::size_t kMaxFailures = 20;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   }
   ParsedDeclaration parsed = ParseDeclaration(name, text);
   if (!parsed.failures.empty()) {
-    if (parsed.failures.size() > kMaxFailuresKept) parsed.failures.resize(kMaxFailuresKept);
+    if (parsed.failures.size() > kMaxFailures) parsed.failures.resize(kMaxFailures);
     return Refuse(OfferResult::kInvalid,
                   {version, std::string(source), std::move(parsed.failures)});
   }
@@ -51,7 +51,7 @@
     m_refused.erase(known);
   }
   m_refused.push_back(std::move(refused));
-  if (m_refused.size() > kMaxRefusedKept) m_refused.pop_front();
+  if (m_refused.size() > kMaxRefusedVersions) m_refused.pop_front();
   return result;
 }
 
--- a/src/libs/control/controlservice.cpp
+++ b/src/libs/control/controlservice.cpp
@@ -222,9 +222,9 @@
 void ControlService::TickSecond(TimePoint now) {
   m_next_second = now + kSecond;
   m_configuration.CheckFile();
-  const bool list_answers =
-      m_vm_list_sync.Plan().Role() == ReaderRole::kFollower || m_vm_list_sync.Plan().StoreAnswers();
-  m_vm_list.Tick(now, list_answers);
+  const bool is_list_source_reachable = m_vm_list_sync.Plan().Role() == ReaderRole::kFollower ||
+                                        m_vm_list_sync.Plan().IsStoreReachable();
+  m_vm_list.Tick(now, is_list_source_reachable);
   for (const BackendServerId& peer : m_links.Overdue(now)) m_membership.OnLinkDown(peer);
   RefreshView(now);
   if (m_declaration) UpdateLinks(*m_declaration, now);
@@ -434,11 +434,11 @@
 
 void ControlService::TickGossip(TimePoint now) {
   if (std::exchange(m_announce, false)) {
-    m_announced_known = m_configuration_sync.Plan().HighestKnown();
+    m_announced_version = m_configuration_sync.Plan().HighestKnown();
     AnnounceToAll(now);
   }
   const std::uint64_t known = m_configuration_sync.Plan().HighestKnown();
-  const bool has_newer_version = known > std::exchange(m_announced_known, known);
+  const bool has_newer_version = known > std::exchange(m_announced_version, known);
   const bool is_due = now >= m_next_gossip;
   if (is_due) m_next_gossip = now + kGossipPeriod;
   for (const BackendServerId& neighbour : m_gossip_queue.Neighbours()) {
@@ -534,10 +534,10 @@
   m_vm_list_sync.Plan().RecordReportedVersion(gossip.known_vm_list_version(), now);
   if (gossip.answers_refresh_id() == m_refresh_id) m_refresh_answered = true;
   if (gossip.refresh_id() == 0) return;
-  wire::Gossip answer = OwnGossip();
-  answer.set_answers_refresh_id(gossip.refresh_id());
-  for (const BackendServerId& server : m_membership.DrainingServers()) AddStatement(answer, server);
-  SendGossip(route.peer, std::move(answer), now);
+  wire::Gossip reply = OwnGossip();
+  reply.set_answers_refresh_id(gossip.refresh_id());
+  for (const BackendServerId& server : m_membership.DrainingServers()) AddStatement(reply, server);
+  SendGossip(route.peer, std::move(reply), now);
 }
 
 void ControlService::RecordPeerStatement(const PeerStatement& statement,
--- a/src/libs/control/controlservice.h
+++ b/src/libs/control/controlservice.h
@@ -153,8 +153,8 @@
   bool m_view_changed = false;
   bool m_announce = false;  // Send gossip to all connected peers at the next tick.
   bool m_announced_draining = false;
-  bool m_was_leaving = false;           // Whether the backend server was leaving at the last tick.
-  std::uint64_t m_announced_known = 0;  // Highest configuration version sent to neighbours.
+  bool m_was_leaving = false;  // Whether the backend server was leaving at the last tick.
+  std::uint64_t m_announced_version = 0;  // Highest configuration version sent to neighbours.
   TimePoint m_next_second{};
   TimePoint m_next_bootstrap_read{};
   TimePoint m_next_gossip{};
--- a/src/libs/control/healthprobe.cpp
+++ b/src/libs/control/healthprobe.cpp
@@ -24,9 +24,9 @@
   m_health.reset();
   if (!health || probes_per_second <= 0.0) return;
   m_health = health;
-  const Duration least =
+  const Duration min_interval =
       std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1.0 / probes_per_second));
-  m_interval = std::max(health->interval, least);
+  m_interval = std::max(health->interval, min_interval);
 }
 
 void HealthProbe::Tick(TimePoint now) {
@@ -73,7 +73,7 @@
 void HealthProbe::OnBackendFailed(ConnectionId, Reason reason, bool may_have_run) {
   CloseConnection();
   const bool is_refused = !may_have_run && reason != Reason::kBackendTimeout;
-  m_result(is_refused ? ProbeResult::kRefused : ProbeResult::kNoAnswer);
+  m_result(is_refused ? ProbeResult::kRefused : ProbeResult::kNoResponse);
 }
 
 void HealthProbe::OnBackendIdleClosed(ConnectionId) { CloseConnection(); }
--- a/src/libs/control/membership.cpp
+++ b/src/libs/control/membership.cpp
@@ -64,8 +64,8 @@
     if (known != m_states.end() && known->second == state) continue;
     has_changed = true;
     m_router.SetEligible(node.id, AcceptsNewWork(state));
-    const bool is_quiet = known == m_states.end() && state == MemberState::kLive;
-    if (!is_quiet) {
+    const bool is_initially_live = known == m_states.end() && state == MemberState::kLive;
+    if (!is_initially_live) {
       EventLine(LogPart::kFleet, LogLevel::kInfo, "standing")
           .With("server", node.id.Value())
           .With("state", MemberStateName(state))
--- a/src/libs/control/vmlistholder.cpp
+++ b/src/libs/control/vmlistholder.cpp
@@ -40,8 +40,8 @@
   return OfferResult::kAccepted;
 }
 
-void VmListHolder::Tick(TimePoint now, bool source_answers) {
-  if (!source_answers || now - m_last_offer < kSuspectListInterval) return;
+void VmListHolder::Tick(TimePoint now, bool is_source_reachable) {
+  if (!is_source_reachable || now - m_last_offer < kSuspectListInterval) return;
   if (!m_membership.IsListSuspect()) return;
   m_last_offer = now;
   m_membership.OfferList(m_entries);
--- a/src/libs/control/vmlistholder.h
+++ b/src/libs/control/vmlistholder.h
@@ -31,9 +31,9 @@
   OfferResult OfferDocument(std::uint64_t version, std::string_view text, DocumentSource source,
                             std::string_view name) override;
 
-  // Offers a suspect list to the membership view again every 10 s while `source_answers`, so that
-  // the view can confirm it.
-  void Tick(TimePoint now, bool source_answers);
+  // Offers a suspect list to the membership view again every 10 s while `is_source_reachable`, so
+  // that the view can confirm it.
+  void Tick(TimePoint now, bool is_source_reachable);
 
  private:
   Membership& m_membership;
--- a/src/libs/fleet/draintracker.h
+++ b/src/libs/fleet/draintracker.h
@@ -10,10 +10,10 @@
 
 // The result of one health probe of the node's own backend server.
 enum class ProbeResult {
-  kHealthy,   // Any HTTP response except the drain status.
-  kLeaving,   // A response with the drain status.
-  kRefused,   // No connection could be opened.
-  kNoAnswer,  // Connected, but no response arrived.
+  kHealthy,     // Any HTTP response except the drain status.
+  kLeaving,     // A response with the drain status.
+  kRefused,     // No connection could be opened.
+  kNoResponse,  // Connected, but no response arrived.
 };
 
 // Decides whether the node's own backend server is leaving. A health endpoint may lag behind, so a
--- a/tests/auto/configuration/tst_fetchplan.cpp
+++ b/tests/auto/configuration/tst_fetchplan.cpp
@@ -180,7 +180,7 @@
       plan.OnStoreReadFailed(random, At(now));
       ++reads;
     }
-    CPPUNIT_ASSERT(!plan.StoreAnswers());
+    CPPUNIT_ASSERT(!plan.IsStoreReachable());
     CPPUNIT_ASSERT(reads >= 60 / 5);
     CPPUNIT_ASSERT(reads <= 4 + 2 * 60 / 5);
   }
--- a/tests/auto/configuration/tst_inventoryhold.cpp
+++ b/tests/auto/configuration/tst_inventoryhold.cpp
@@ -37,8 +37,8 @@
 struct RetentionRow {
   std::string_view name;
   std::string before;
-  std::string after;        // The list that is set 100 ms later.
-  milliseconds held_until;  // 100 ms means that nothing is retained.
+  std::string after;            // The list that is set 100 ms later.
+  milliseconds retained_until;  // 100 ms means that nothing is retained.
 };
 
 const std::array retention_rows{
@@ -53,15 +53,15 @@
   InventoryRetention retention;
   retention.Update(ListOf(row.before), At(milliseconds(0)));
   retention.Update(ListOf(row.after), At(milliseconds(100)));
-  const bool is_held = row.held_until > milliseconds(100);
-  CPPUNIT_ASSERT_EQUAL(is_held, retention.NextExpiry().has_value());
+  const bool is_retained = row.retained_until > milliseconds(100);
+  CPPUNIT_ASSERT_EQUAL(is_retained, retention.NextExpiry().has_value());
   const auto size = [&](milliseconds time) {
     return retention.Current(At(time)).inventory->size();
   };
-  CPPUNIT_ASSERT_EQUAL(is_held ? row.before.size() : row.after.size(),
-                       size(row.held_until - milliseconds(1)));
-  CPPUNIT_ASSERT_EQUAL(row.after.size(), size(row.held_until));
-  retention.RemoveExpired(At(row.held_until));
+  CPPUNIT_ASSERT_EQUAL(is_retained ? row.before.size() : row.after.size(),
+                       size(row.retained_until - milliseconds(1)));
+  CPPUNIT_ASSERT_EQUAL(row.after.size(), size(row.retained_until));
+  retention.RemoveExpired(At(row.retained_until));
   CPPUNIT_ASSERT(!retention.NextExpiry());
 }
 
--- a/tests/auto/fleet/tst_draintracker.cpp
+++ b/tests/auto/fleet/tst_draintracker.cpp
@@ -33,15 +33,15 @@
   constexpr auto kHealthy = ProbeResult::kHealthy;
   constexpr auto kLeaving = ProbeResult::kLeaving;
   constexpr auto kRefused = ProbeResult::kRefused;
-  constexpr auto kNoAnswer = ProbeResult::kNoAnswer;
+  constexpr auto kNoResponse = ProbeResult::kNoResponse;
   return {
       {"healthy", false, {kHealthy, kHealthy}, false},
-      {"down without a drain", false, {kRefused, kNoAnswer}, false},
+      {"down without a drain", false, {kRefused, kNoResponse}, false},
       {"drain status", false, {kLeaving}, true},
       {"lagging health after the header", true, {kHealthy, kHealthy, kHealthy}, true},
       {"down, not yet back", true, {kRefused}, true},
       {"restarted", true, {kHealthy, kRefused, kHealthy}, false},
-      {"silent, then healthy", true, {kNoAnswer, kHealthy}, true},
+      {"silent, then healthy", true, {kNoResponse, kHealthy}, true},
       {"restarted and drains again", false, {kLeaving, kRefused, kHealthy, kLeaving}, true},
       {"healthy for 30 s", true, ThirtyOneHealthyProbes(), false},
   };
