--- a/src/libs/control/controlservice.cpp
+++ b/src/libs/control/controlservice.cpp
@@ -462,7 +462,7 @@
     m_links.OnLinkUp(peer);
     EventLine(LogPart::kLink, LogLevel::kInfo, "peer_linked").With("server", peer.Value());
     m_membership.OnLinkUp(peer);
-    RecordPeerStatement(StatementFrom(peer, state), peer);
+    OnPeerStatement(StatementFrom(peer, state), peer);
     RecordPeerVersions(peer, state.configuration_version(), std::nullopt, now);
     m_gossip_queue.Reset(peer, m_membership.DrainingServers());
     m_view_changed = true;
@@ -497,7 +497,7 @@
 
 void ControlService::OnPeerState(const BackendServerId& peer, const wire::OwnerState& state) {
   const auto handle = [this, peer, state] {
-    RecordPeerStatement(StatementFrom(peer, state), peer);
+    OnPeerStatement(StatementFrom(peer, state), peer);
     RecordPeerVersions(peer, state.configuration_version(), std::nullopt, MonotonicNow());
   };
   QMetaObject::invokeMethod(this, handle, Qt::QueuedConnection);
@@ -526,8 +526,7 @@
 void ControlService::HandleGossip(const ReplyRoute& route, const wire::Gossip& gossip,
                                   TimePoint now) {
   for (const wire::PeerState& state : gossip.peers()) {
-    if (state.server_id() != m_self.id.Value())
-      RecordPeerStatement(StatementFrom(state), route.peer);
+    if (state.server_id() != m_self.id.Value()) OnPeerStatement(StatementFrom(state), route.peer);
   }
   RecordPeerVersions(route.peer, gossip.configuration_version(), gossip.vm_list_version(), now);
   m_configuration_sync.Plan().RecordReportedVersion(gossip.known_configuration_version(), now);
@@ -540,8 +539,7 @@
   SendGossip(route.peer, std::move(reply), now);
 }
 
-void ControlService::RecordPeerStatement(const PeerStatement& statement,
-                                         const BackendServerId& from) {
+void ControlService::OnPeerStatement(const PeerStatement& statement, const BackendServerId& from) {
   if (!m_membership.RecordStatement(statement)) return;
   m_gossip_queue.Enqueue(statement.server, from);
   m_view_changed = true;
--- a/src/libs/control/controlservice.h
+++ b/src/libs/control/controlservice.h
@@ -115,7 +115,7 @@
   void HandleGossip(const ReplyRoute& route, const wire::Gossip& gossip, TimePoint now);
   void RecordPeerVersions(const BackendServerId& peer, std::uint64_t configuration,
                           std::optional<std::uint64_t> vm_list, TimePoint now);
-  void RecordPeerStatement(const PeerStatement& statement, const BackendServerId& from);
+  void OnPeerStatement(const PeerStatement& statement, const BackendServerId& from);
   wire::Gossip OwnGossip() const;
   void AddStatement(wire::Gossip& gossip, const BackendServerId& server) const;
   void SendGossip(const BackendServerId& peer, wire::Gossip gossip, TimePoint now);
--- a/src/libs/fleet/fleetview.cpp
+++ b/src/libs/fleet/fleetview.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::chrono::seconds kGoneAfter{10};
-constexpr std::chrono::seconds kSuspectListTime{30};
-constexpr std::size_t kSuspectListReads = 3;
+constexpr std::chrono::seconds kSuspectTime{30};
+constexpr std::size_t kSuspectReads = 3;
 // Request ids are retained for 10 minutes; the rest covers clock differences and the delay of
 // lists.
 constexpr std::chrono::minutes kRemovedRetention{15};
@@ -87,8 +87,7 @@
 }
 
 bool FleetView::IsConfirmed(const std::map<BackendServerId, bool>& listed, TimePoint now) const {
-  if (m_suspect->reads < kSuspectListReads || now - m_suspect->since < kSuspectListTime)
-    return false;
+  if (m_suspect->reads < kSuspectReads || now - m_suspect->since < kSuspectTime) return false;
   return std::none_of(m_members.begin(), m_members.end(), [&](const auto& entry) {
     return entry.second.link == Link::kUp && !listed.contains(entry.first);
   });
--- a/tests/auto/fleet/tst_draintracker.cpp
+++ b/tests/auto/fleet/tst_draintracker.cpp
@@ -105,14 +105,13 @@
   void BudgetBoundsBytes() {
     ByteBudget budget;
     budget.SetRate(1000);
-    std::size_t taken = 0;
+    std::size_t sum = 0;
     for (int step = 0; step < 1000; ++step) {
-      if (budget.TryConsume(100, At(seconds(0)) + std::chrono::milliseconds(10 * step)))
-        taken += 100;
+      if (budget.TryConsume(100, At(seconds(0)) + std::chrono::milliseconds(10 * step))) sum += 100;
     }
     // The rate over 10 s, a burst of one second's worth and one message in excess of the budget.
-    CPPUNIT_ASSERT(taken <= 11100);
-    CPPUNIT_ASSERT(taken >= 9000);
+    CPPUNIT_ASSERT(sum <= 11100);
+    CPPUNIT_ASSERT(sum >= 9000);
   }
 };
 
