--- a/src/libs/configuration/vmlist.cpp
+++ b/src/libs/configuration/vmlist.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr int kMostSlots = 10000;
+constexpr int kMaxSlots = 10000;
 constexpr char kLive[] = "live";
 constexpr char kLeaving[] = "leaving";
 
@@ -22,7 +22,8 @@
 
 QString ToQString(const std::string& text) { return QString::fromStdString(text); }
 
-// The backend server of an entry; empty if a field is missing or of another type.
+// Parses the backend server of an entry. Returns nullopt if the service is missing, an address is
+// invalid or the number of slots is out of range.
 std::optional<BackendServer> ReadServer(const QJsonObject& entry) {
   BackendServer server;
   server.id = BackendServerId(TextOf(entry, "id"));
@@ -35,7 +36,7 @@
   server.warming = entry.value("warming").toBool();
   const int slots = entry.value("slots").toInt();
   const bool has_addresses = ParseEndpoint(server.address) && ParseEndpoint(server.peer_address);
-  if (server.service.IsEmpty() || !has_addresses || slots < 1 || slots > kMostSlots) {
+  if (server.service.IsEmpty() || !has_addresses || slots < 1 || slots > kMaxSlots) {
     return std::nullopt;
   }
   server.slots = static_cast<std::size_t>(slots);
--- a/src/libs/control/controlservice.h
+++ b/src/libs/control/controlservice.h
@@ -16,24 +16,24 @@
 
 #include "calls/sharedrouter.h"
 #include "calls/viewgate.h"
-#include "configuration/freshstart.h"
-#include "configuration/inventoryhold.h"
-#include "control/configurationkeeper.h"
+#include "configuration/configurationbootstrap.h"
+#include "configuration/inventoryretention.h"
+#include "control/configurationholder.h"
 #include "control/documentsync.h"
 #include "control/healthprobe.h"
 #include "control/membership.h"
-#include "control/nodeseams.h"
 #include "control/peerlinks.h"
-#include "control/vmlistkeeper.h"
+#include "control/platformbindings.h"
+#include "control/vmlistholder.h"
 #include "fleet/draintracker.h"
-#include "fleet/gossipbook.h"
+#include "fleet/gossipqueue.h"
 #include "fleet/linkplan.h"
 #include "owner/ownerservice.h"
 #include "settings/nodesettings.h"
 
 namespace damaskhollow {
 
-// What the control role works with. All of it outlives the service.
+// The objects that ControlService works with. All of them must outlive it.
 struct ControlContext {
   const NodeSettings& settings;
   const NodeIdentity& identity;
@@ -43,75 +43,79 @@
   OwnerService& owner;
   PeerTransport& transport;
   ViewGate& gate;
-  const NodeSeams& seams;
+  const PlatformBindings& bindings;
 };
 
-// The control role: keeps configuration and VM list up to date, exchanges gossip, decides on links
-// and drains, and refreshes the view after a pause. Lives on the main thread; members that say so
-// may be called from any thread.
+// The control role of a node: keeps the configuration and VM list up to date, exchanges gossip,
+// decides which links to dial, detects drains and refreshes the membership view after the process
+// was paused. Created by Node and runs on the main thread; methods marked "from any thread" are
+// also called by the network threads.
 class ControlService : public QObject {
  public:
-  // `apply` puts an accepted declaration into force in the other roles.
-  ControlService(ControlContext context, ConfigurationKeeper::ApplyFunction apply);
+  // `apply` activates an accepted declaration in the other roles of the node.
+  ControlService(ControlContext context, ConfigurationHolder::ApplyFunction apply);
   ~ControlService() override;
 
-  // Reads the declaration file, if one is set, or starts to look for a configuration.
+  // Loads the declaration file if one is set, otherwise starts to fetch a configuration from peers
+  // and the service. Fails if the file is unusable.
   Result<void> Start();
 
-  // To be called every 20 ms.
+  // Must be called every 20 ms.
   void Tick(TimePoint now);
 
-  // The link that this node dialled to `peer` came up or went down. From any thread.
-  void NoteLinkUp(const BackendServerId& peer, const wire::OwnerState& state);
-  void NoteLinkDown(const BackendServerId& peer);
+  // Handle a change of the link that this node dialled to `peer`. From any thread.
+  void OnLinkUp(const BackendServerId& peer, const wire::OwnerState& state);
+  void OnLinkDown(const BackendServerId& peer);
 
-  // What a peer said of itself on a Pong. From any thread.
-  void NoteState(const BackendServerId& peer, const wire::OwnerState& state);
+  // Handles the state that a peer reported in a Pong. From any thread.
+  void OnPeerState(const BackendServerId& peer, const wire::OwnerState& state);
 
-  // A control message could not be sent on the link dialled to `peer`; it is sent on the one that
-  // the peer dialled, if any. From any thread.
-  void NoteSendFailed(const BackendServerId& peer, wire::Envelope message);
+  // Handles a control message that could not be sent on the link dialled to `peer`: sends it on the
+  // link that the peer dialled, if there is one. From any thread.
+  void OnSendFailed(const BackendServerId& peer, wire::Envelope message);
 
-  // Takes Gossip, ConfigurationQuery and ConfigurationPart. From any thread.
+  // Handles Gossip, ConfigurationQuery and ConfigurationPart messages. From any thread.
   void HandleMessage(const ReplyRoute& route, wire::Envelope message);
 
-  // Counts bytes of control messages, and those that cross the paid link. From any thread.
+  // Adds to the byte counters of control messages; bytes sent to a peer in another region also
+  // count for the paid link. From any thread.
   void CountBytes(const BackendServerId& peer, std::size_t sent, std::size_t received);
 
-  // For queries from any thread.
+  // The membership view; its const methods may be called from any thread.
   const Membership& Members() const { return m_membership; }
 
-  // Adds the parts of /status that belong to this role.
+  // Adds this role's fields to the body of /status.
   void AddStatus(QJsonObject& status) const;
 
  private:
-  // Puts accepted rules into force, with the live inventory if there is one.
-  void NoteRules(const std::shared_ptr<const Declaration>& rules, std::uint64_t version);
-  void NoteInventory(const VmList& list, TimePoint now);
+  // Activates accepted rules, combined with the live inventory if there is one.
+  void OnRulesAccepted(const std::shared_ptr<const Declaration>& rules, std::uint64_t version);
+  void OnInventoryReceived(const VmList& list, TimePoint now);
   void TickInventory(TimePoint now);
-  // Puts the live inventory with what is held of it into force.
+  // Activates the live inventory together with the servers retained after their removal.
   void ApplyInventory(TimePoint now);
   void LogInventoryChange(std::span<const BackendServer> after) const;
   std::shared_ptr<const Declaration> WithInventory(
       const std::shared_ptr<const Declaration>& rules) const;
-  void NoteApplied(const std::shared_ptr<const Declaration>& declaration, std::uint64_t version);
-  void TickFreshStart(TimePoint now);
+  void ApplyDeclaration(const std::shared_ptr<const Declaration>& declaration,
+                        std::uint64_t version);
+  void TickBootstrap(TimePoint now);
   void TickSecond(TimePoint now);
   void TickDrain(TimePoint now);
   void TickPause(TimePoint now);
   void TickGossip(TimePoint now);
-  void TakeView(TimePoint now);
+  void RefreshView(TimePoint now);
 
   void DialSeeds();
   void UpdateLinks(const Declaration& declaration, TimePoint now);
   PeerLinks::Target TargetOf(const BackendServer& server) const;
   void UpdateOverlay(std::span<const FleetNode> nodes);
-  void UpdatePlace(TimePoint now);
+  void UpdateReaderAssignment(TimePoint now);
 
   void HandleGossip(const ReplyRoute& route, const wire::Gossip& gossip, TimePoint now);
-  void NotePeerVersions(const BackendServerId& peer, std::uint64_t configuration,
-                        std::optional<std::uint64_t> vm_list, TimePoint now);
-  void NotePeerStatement(const PeerStatement& statement, const BackendServerId& from);
+  void RecordPeerVersions(const BackendServerId& peer, std::uint64_t configuration,
+                          std::optional<std::uint64_t> vm_list, TimePoint now);
+  void OnPeerStatement(const PeerStatement& statement, const BackendServerId& from);
   wire::Gossip OwnGossip() const;
   void AddStatement(wire::Gossip& gossip, const BackendServerId& server) const;
   void SendGossip(const BackendServerId& peer, wire::Gossip gossip, TimePoint now);
@@ -122,37 +126,37 @@
   using RegionMap = std::unordered_map<BackendServerId, RegionId>;
 
   ControlContext m_context;
-  ConfigurationKeeper::ApplyFunction m_apply;
+  ConfigurationHolder::ApplyFunction m_apply;
   const FleetNode m_self;
   RandomSource m_random;
   Membership m_membership;
   PeerLinks m_links;
-  ConfigurationKeeper m_configuration;
-  VmListKeeper m_vm_list;
+  ConfigurationHolder m_configuration;
+  VmListHolder m_vm_list;
   DocumentSync m_configuration_sync;
   DocumentSync m_vm_list_sync;
   LinkPlan m_link_plan;
-  GossipBook m_book;
+  GossipQueue m_gossip_queue;
   ByteBudget m_gossip_budget;
   DrainTracker m_drain;
   HealthProbe m_probe;
-  std::optional<FreshStart> m_fresh;
-  InventoryHold m_hold;
-  std::shared_ptr<const Declaration> m_rules;  // As accepted.
+  std::optional<ConfigurationBootstrap> m_bootstrap;
+  InventoryRetention m_retention;
+  std::shared_ptr<const Declaration> m_rules;  // Accepted declaration, without live inventory.
   std::uint64_t m_rules_version = 0;
-  std::optional<std::vector<BackendServer>> m_inventory;  // Live; empty if the declared one counts.
-  std::shared_ptr<const Declaration> m_declaration;       // Rules and inventory in force.
+  std::optional<std::vector<BackendServer>> m_inventory;  // Live inventory; empty if declared.
+  std::shared_ptr<const Declaration> m_declaration;       // Active rules and inventory.
   std::atomic<std::shared_ptr<const RegionMap>> m_regions;
 
-  std::vector<FleetNode> m_overlay_nodes;        // That the overlay was computed from.
+  std::vector<FleetNode> m_overlay_nodes;        // Nodes that the overlay was computed from.
   std::vector<BackendServerId> m_control_peers;  // Overlay neighbours and other readers.
   bool m_view_changed = false;
-  bool m_announce = false;  // To all connected peers at the next tick.
+  bool m_announce = false;  // Send gossip to all connected peers at the next tick.
   bool m_announced_draining = false;
-  bool m_was_leaving = false;           // The backend server, at the last tick.
-  std::uint64_t m_announced_known = 0;  // Highest configuration version neighbours were told of.
+  bool m_was_leaving = false;  // Whether the backend server was leaving at the last tick.
+  std::uint64_t m_announced_version = 0;  // Highest configuration version sent to neighbours.
   TimePoint m_next_second{};
-  TimePoint m_next_fresh_read{};
+  TimePoint m_next_bootstrap_read{};
   TimePoint m_next_gossip{};
   TimePoint m_next_wide_gossip{};
   std::uint64_t m_refresh_id = 0;
--- a/tests/auto/configuration/tst_propagation.cpp
+++ b/tests/auto/configuration/tst_propagation.cpp
@@ -17,25 +17,25 @@
 using std::chrono::seconds;
 
 const RegionId near_region("near");
-// Each message, read and transfer takes one step; it stands for the round trip between regions and
-// a transfer of some parts.
+// Duration of each message, read and transfer. Represents a round trip between regions and the
+// transfer of some parts.
 constexpr milliseconds kStep{100};
 
 TimePoint At(milliseconds time) { return TimePoint(seconds(1000)) + time; }
 
-// One node of the simulated fleet: the decisions are the product's, the network is simulated.
+// One node of the simulated fleet. It decides by a real FetchPlan; only the network is simulated.
 struct SimulatedNode {
   FleetNode node;
   FetchPlan plan;
   std::uint64_t version = 1;
-  std::optional<std::pair<std::uint64_t, milliseconds>> read;  // Its `after` and its end.
+  std::optional<std::pair<std::uint64_t, milliseconds>> read;  // `after` and the end of the wait.
   std::optional<std::size_t> transfer_from;
-  std::uint64_t announced = 1;  // Highest known version that its neighbours were told of.
-  bool is_dead = false;
+  std::uint64_t announced = 1;  // Highest known version sent to its neighbours.
+  bool is_down = false;
   bool is_store_silent = false;  // Its reads are never answered.
 };
 
-// Runs fetch plans of a whole fleet against a store and counts reads and copies on the paid link.
+// Runs the fetch plans of all nodes against a store and counts reads and copies on the paid link.
 class SimulatedFleet {
  public:
   SimulatedFleet(std::size_t size, const RegionId& store_region) : m_random(5) {
@@ -44,9 +44,9 @@
     for (const FleetNode& node : fleet) {
       index_of[node.id] = m_nodes.size();
       m_nodes.push_back({node, FetchPlan(node), 1, {}, {}, 1, false, false});
-      const ReaderPlace place = PlaceOf(fleet, node, store_region);
-      m_nodes.back().plan.SetPlace(place, At(m_now));
-      m_nodes.back().plan.NoteHeld(1);
+      const ReaderAssignment assignment = ReaderAssignmentOf(fleet, node, store_region);
+      m_nodes.back().plan.SetAssignment(assignment, At(m_now));
+      m_nodes.back().plan.RecordHeld(1);
     }
     m_neighbours.resize(size);
     for (const auto& [id, neighbours] : Overlay::Build(fleet)) {
@@ -80,7 +80,7 @@
 
   bool AllHold(std::uint64_t version) const {
     return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const SimulatedNode& node) {
-      return node.is_dead || node.version == version;
+      return node.is_down || node.version == version;
     });
   }
 
@@ -89,7 +89,7 @@
     std::vector<std::size_t> changed;
     for (std::size_t index = 0; index < m_nodes.size(); ++index) {
       SimulatedNode& node = m_nodes[index];
-      if (node.is_dead) continue;
+      if (node.is_down) continue;
       const std::uint64_t known = node.plan.HighestKnown();
       const bool has_changed = Read(node) || Transfer(node);
       if (has_changed || node.announced < known) changed.push_back(index);
@@ -98,12 +98,12 @@
     for (const std::size_t index : changed) Announce(index);
   }
 
-  // Returns true if the node got a new version.
+  // Returns true if the node received a new version.
   bool Read(SimulatedNode& node) {
     const auto due = node.plan.StoreReadDue(At(m_now));
     if (due) {
       node.is_store_silent = node.is_store_silent && !node.read;  // A second connection works.
-      node.plan.NoteStoreReadStarted(At(m_now));
+      node.plan.OnStoreReadStarted(At(m_now));
       ++m_reads;
       node.read = {due->after, m_now + due->wait};
       return false;
@@ -113,12 +113,12 @@
     if (m_store_version > node.read->first) {
       node.read.reset();
       if (node.node.region != near_region) ++m_paid_copies;
-      node.plan.NoteStoreChanged(At(m_now));
+      node.plan.OnStoreReadChanged(At(m_now));
       return Accept(node, m_store_version);
     }
     if (m_now < node.read->second) return false;
     node.read.reset();
-    node.plan.NoteStoreUnchanged(At(m_now));
+    node.plan.OnStoreReadUnchanged(At(m_now));
     return false;
   }
 
@@ -126,9 +126,9 @@
     if (node.transfer_from) {
       const SimulatedNode& from = m_nodes[*std::exchange(node.transfer_from, std::nullopt)];
       if (from.node.region != node.node.region) ++m_paid_copies;
-      return !from.is_dead && Accept(node, from.version);
+      return !from.is_down && Accept(node, from.version);
     }
-    const auto peer = node.plan.PeerToAsk(m_random, At(m_now));
+    const auto peer = node.plan.PeerToQuery(m_random, At(m_now));
     if (!peer) return false;
     for (std::size_t index = 0; index < m_nodes.size(); ++index) {
       if (m_nodes[index].node.id == *peer) node.transfer_from = index;
@@ -139,14 +139,14 @@
   bool Accept(SimulatedNode& node, std::uint64_t version) {
     if (version <= node.version) return false;
     node.version = version;
-    node.plan.NoteHeld(version);
+    node.plan.RecordHeld(version);
     return true;
   }
 
   void Announce(std::size_t from) {
     for (const std::size_t to : m_neighbours[from]) {
-      m_nodes[to].plan.NotePeer(m_nodes[from].node, m_nodes[from].version, At(m_now));
-      m_nodes[to].plan.NoteRumour(m_nodes[from].plan.HighestKnown(), At(m_now));
+      m_nodes[to].plan.RecordPeerVersion(m_nodes[from].node, m_nodes[from].version, At(m_now));
+      m_nodes[to].plan.RecordReportedVersion(m_nodes[from].plan.HighestKnown(), At(m_now));
     }
   }
 
@@ -184,7 +184,7 @@
     }
   }
 
-  // The formula of section 6.9: store reads a second <= readers x (1/30 + changes a second).
+  // Store reads per second must stay <= readers x (1/30 + changes per second).
   void ReadsStayWithinFormula() {
     constexpr std::size_t kSeconds = 300;
     constexpr std::size_t kChanges = 6;
@@ -201,8 +201,8 @@
     }
   }
 
-  // Bytes on the paid link <= readers in far regions x size; one copy if the store's region is
-  // known.
+  // A change crosses the paid link at most once per reader in remote regions, and only once if the
+  // store's region is configured.
   void OneCopyPerFarRegionAndChange() {
     constexpr std::size_t kChanges = 5;
     SimulatedFleet known(1200, near_region);
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT(unknown.PaidCopies() <= kChanges * kFarReaders);
   }
 
-  // Guards against a region that waits for a reader whose connection to the store went silent.
+  // Guards against a region that waits for a reader whose connection to the store has gone silent.
   void SilentFirstReaderDelaysNoChange() {
     SimulatedFleet fleet(1200, near_region);
     for (SimulatedNode& node : fleet.Nodes()) {
@@ -233,14 +233,14 @@
     CPPUNIT_ASSERT(fleet.PaidCopies() <= kFarReaders);
   }
 
-  // Guards against a change that waits until the loss of a reader is noticed: here one reader of
-  // each data centre is dead and no node knows it yet.
+  // Guards against a change that is delayed until the loss of a reader is detected: here one reader
+  // of each data centre is down and no node has detected it yet.
   void DeadReadersDelayNoChange() {
     SimulatedFleet fleet(1200, near_region);
     std::set<DataCentreId> hit;
     for (SimulatedNode& node : fleet.Nodes()) {
       if (node.plan.Role() == ReaderRole::kFollower) continue;
-      node.is_dead = hit.insert(node.node.data_centre).second;
+      node.is_down = hit.insert(node.node.data_centre).second;
     }
     fleet.Run(seconds(1));
     fleet.Change();
--- a/tests/auto/fleet/tst_draintracker.cpp
+++ b/tests/auto/fleet/tst_draintracker.cpp
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "fleet/draintracker.h"
-#include "fleet/gossipbook.h"
+#include "fleet/gossipqueue.h"
 
 namespace damaskhollow {
 
@@ -15,8 +15,8 @@
 
 TimePoint At(seconds since_start) { return TimePoint(seconds(1000)) + since_start; }
 
-// Probes one second apart, after a drain header if `header` is set, and whether the server counts
-// as leaving after them.
+// The results of probes 1 s apart, preceded by a drain header if `header` is set, and whether the
+// server then counts as leaving.
 struct DrainCase {
   std::string_view name;
   bool header;
@@ -33,15 +33,15 @@
   constexpr auto kHealthy = ProbeResult::kHealthy;
   constexpr auto kLeaving = ProbeResult::kLeaving;
   constexpr auto kRefused = ProbeResult::kRefused;
-  constexpr auto kNoAnswer = ProbeResult::kNoAnswer;
+  constexpr auto kNoResponse = ProbeResult::kNoResponse;
   return {
       {"healthy", false, {kHealthy, kHealthy}, false},
-      {"down without a drain", false, {kRefused, kNoAnswer}, false},
+      {"down without a drain", false, {kRefused, kNoResponse}, false},
       {"drain status", false, {kLeaving}, true},
       {"lagging health after the header", true, {kHealthy, kHealthy, kHealthy}, true},
       {"down, not yet back", true, {kRefused}, true},
       {"restarted", true, {kHealthy, kRefused, kHealthy}, false},
-      {"silent, then healthy", true, {kNoAnswer, kHealthy}, true},
+      {"silent, then healthy", true, {kNoResponse, kHealthy}, true},
       {"restarted and drains again", false, {kLeaving, kRefused, kHealthy, kLeaving}, true},
       {"healthy for 30 s", true, ThirtyOneHealthyProbes(), false},
   };
@@ -55,14 +55,14 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against new work for a leaving server whose health path lags, and against a restarted
-  // one that gets none.
+  // Guards against new work for a leaving server whose health path lags behind, and against a
+  // restarted server that gets no work.
   void TakesServerBackAfterProofOnly() {
     for (const DrainCase& row : DrainCases()) {
       DrainTracker tracker;
-      if (row.header) tracker.NoteHeader(true, At(seconds(0)));
+      if (row.header) tracker.OnDrainHeader(true, At(seconds(0)));
       seconds time{0};
-      for (const ProbeResult probe : row.probes) tracker.NoteProbe(probe, At(time += seconds(1)));
+      for (const ProbeResult probe : row.probes) tracker.OnProbe(probe, At(time += seconds(1)));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), row.leaving, tracker.IsLeaving());
     }
   }
@@ -82,36 +82,36 @@
     const BackendServerId first("a");
     const BackendServerId second("b");
     const BackendServerId server("s");
-    GossipBook book;
-    book.SetNeighbours({first, second}, {});
-    book.NoteNews(server, first);
-    CPPUNIT_ASSERT(!book.IsOwed(first));
-    CPPUNIT_ASSERT(book.IsOwed(second));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.Take(second, 50).size());
-    CPPUNIT_ASSERT(!book.IsOwed(second));
+    GossipQueue queue;
+    queue.SetNeighbours({first, second}, {});
+    queue.Enqueue(server, first);
+    CPPUNIT_ASSERT(!queue.HasPending(first));
+    CPPUNIT_ASSERT(queue.HasPending(second));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.Pop(second, 50).size());
+    CPPUNIT_ASSERT(!queue.HasPending(second));
   }
 
-  // Guards against a drain that a neighbour never learns of because its link broke.
+  // Guards against a drain that is never sent to a neighbour because the link to it broke.
   void RestartedLinkIsToldAgain() {
     const BackendServerId neighbour("a");
     const std::array<BackendServerId, 1> draining{BackendServerId("s")};
-    GossipBook book;
-    book.SetNeighbours({neighbour}, {});
-    CPPUNIT_ASSERT(!book.IsOwed(neighbour));
-    book.Restart(neighbour, draining);
-    CPPUNIT_ASSERT(book.IsOwed(neighbour));
+    GossipQueue queue;
+    queue.SetNeighbours({neighbour}, {});
+    CPPUNIT_ASSERT(!queue.HasPending(neighbour));
+    queue.Reset(neighbour, draining);
+    CPPUNIT_ASSERT(queue.HasPending(neighbour));
   }
 
   void BudgetBoundsBytes() {
     ByteBudget budget;
     budget.SetRate(1000);
-    std::size_t taken = 0;
+    std::size_t sum = 0;
     for (int step = 0; step < 1000; ++step) {
-      if (budget.TryTake(100, At(seconds(0)) + std::chrono::milliseconds(10 * step))) taken += 100;
+      if (budget.TryConsume(100, At(seconds(0)) + std::chrono::milliseconds(10 * step))) sum += 100;
     }
-    // Ten seconds, one second's worth in store and one message of overdraft.
-    CPPUNIT_ASSERT(taken <= 11100);
-    CPPUNIT_ASSERT(taken >= 9000);
+    // The rate over 10 s, a burst of one second's worth and one message in excess of the budget.
+    CPPUNIT_ASSERT(sum <= 11100);
+    CPPUNIT_ASSERT(sum >= 9000);
   }
 };
 
