--- a/src/libs/base/result.cpp
+++ b/src/libs/base/result.cpp
@@ -25,8 +25,8 @@
       {FailureCode::kSocket, "socket"},
       {FailureCode::kUnavailable, "unavailable"},
   }};
-  for (const auto& [known, name] : kNames) {
-    if (known == code) return name;
+  for (const auto& [listed_code, name] : kNames) {
+    if (listed_code == code) return name;
   }
   return "unknown_failure";
 }
--- a/src/libs/declaration/declaration.cpp
+++ b/src/libs/declaration/declaration.cpp
@@ -22,8 +22,8 @@
 const Service* Declaration::FindServiceByHost(std::string_view host) const {
   const std::string_view name = host.substr(0, host.rfind(':'));
   for (const Service& service : services) {
-    for (const std::string& known : service.hosts) {
-      if (known == host || known == name) return &service;
+    for (const std::string& declared_host : service.hosts) {
+      if (declared_host == host || declared_host == name) return &service;
     }
   }
   return nullptr;
--- a/src/libs/declaration/declarationdiff.cpp
+++ b/src/libs/declaration/declarationdiff.cpp
@@ -20,7 +20,7 @@
 
 // How entries of one kind are named and compared.
 template <class Entry>
-struct Kind {
+struct EntryKind {
   std::string_view noun;
   std::span<const Field<Entry>> fields;
   std::string_view added_effect;
@@ -135,18 +135,18 @@
     MemberField<&Budgets::hedge_share, Budgets>("hedge_share", "bound of hedges"),
 };
 
-constexpr Kind<Region> kRegionKind{"region", kRegionFields, "servers can be declared in it",
-                                   "no server can be declared in it"};
-constexpr Kind<Priority> kPriorityKind{"priority", kPriorityFields, "rules can name it",
-                                       "no rule can name it"};
-constexpr Kind<Service> kServiceKind{"service", kServiceFields, "calls for it are accepted",
-                                     "calls for it are refused with unknown_service"};
-constexpr Kind<Rule> kRuleKind{"rule", kRuleFields, "matching requests are classified by it",
-                               "matching requests fall to a shorter prefix or to no_rule"};
-constexpr Kind<BackendServer> kServerKind{"backend server", kServerFields,
-                                          "it gets work by slow start once its node answers",
-                                          "it gets no new work; calls in flight finish"};
-constexpr Kind<Budgets> kBudgetKind{"budgets", kBudgetFields, "", ""};
+constexpr EntryKind<Region> kRegionKind{"region", kRegionFields, "servers can be declared in it",
+                                        "no server can be declared in it"};
+constexpr EntryKind<Priority> kPriorityKind{"priority", kPriorityFields, "rules can name it",
+                                            "no rule can name it"};
+constexpr EntryKind<Service> kServiceKind{"service", kServiceFields, "calls for it are accepted",
+                                          "calls for it are refused with unknown_service"};
+constexpr EntryKind<Rule> kRuleKind{"rule", kRuleFields, "matching requests are classified by it",
+                                    "matching requests fall to a shorter prefix or to no_rule"};
+constexpr EntryKind<BackendServer> kServerKind{"backend server", kServerFields,
+                                               "it gets work by slow start once its node answers",
+                                               "it gets no new work; calls in flight finish"};
+constexpr EntryKind<Budgets> kBudgetKind{"budgets", kBudgetFields, "", ""};
 
 template <class Entry>
 std::string KeyOf(const Entry& entry) {
@@ -160,7 +160,7 @@
 }
 
 template <class Entry>
-void CompareFields(const Kind<Entry>& kind, const std::string& subject, const Entry& before,
+void CompareFields(const EntryKind<Entry>& kind, const std::string& subject, const Entry& before,
                    const Entry& after, std::vector<DeclarationChange>& changes) {
   for (const Field<Entry>& field : kind.fields) {
     const std::string old_text = field.text(before);
@@ -172,7 +172,7 @@
 }
 
 template <class Entry>
-std::string Summary(const Kind<Entry>& kind, const Entry& entry) {
+std::string Summary(const EntryKind<Entry>& kind, const Entry& entry) {
   std::string text;
   for (const Field<Entry>& field : kind.fields) {
     text += (text.empty() ? "" : "; ") + std::string(field.name) + " " + field.text(entry);
@@ -189,7 +189,7 @@
 }
 
 template <class Entry>
-void CompareEntries(const Kind<Entry>& kind, std::string_view owner,
+void CompareEntries(const EntryKind<Entry>& kind, std::string_view owner,
                     const std::vector<Entry>& before, const std::vector<Entry>& after,
                     std::vector<DeclarationChange>& changes) {
   const std::map<std::string, const Entry*> old_entries = ByKey(before);
@@ -216,10 +216,10 @@
 
 // The rules of each prefix that are in both lists, in their order.
 std::map<std::string, std::string> RuleOrder(const Service& service, const Service& other) {
-  const std::map<std::string, const Rule*> known = ByKey(other.rules);
+  const std::map<std::string, const Rule*> other_rules = ByKey(other.rules);
   std::map<std::string, std::string> order;
   for (const Rule& rule : service.rules) {
-    if (!known.contains(KeyOf(rule))) continue;
+    if (!other_rules.contains(KeyOf(rule))) continue;
     std::string& text = order[rule.path_prefix];
     text += (text.empty() ? "" : ", ") + KeyOf(rule);
   }
--- a/src/libs/declaration/declarationparser.cpp
+++ b/src/libs/declaration/declarationparser.cpp
@@ -26,7 +26,8 @@
   std::set<std::string> seen;
   for (const Entry& entry : entries) {
     if (seen.insert(entry.id.Value()).second) continue;
-    root.Fail(FailureCode::kDuplicateId, field, "\"" + entry.id.Value() + "\" is declared twice");
+    root.AddFailure(FailureCode::kDuplicateId, field,
+                    "\"" + entry.id.Value() + "\" is declared twice");
   }
 }
 
@@ -44,8 +45,8 @@
 
 Region ReadRegion(JsonReader& reader) {
   Region region;
-  region.id = RegionId(reader.Text("id"));
-  for (const std::string& data_centre : reader.Texts("data_centres")) {
+  region.id = RegionId(reader.String("id"));
+  for (const std::string& data_centre : reader.StringList("data_centres")) {
     region.data_centres.emplace_back(data_centre);
   }
   return region;
@@ -53,50 +54,51 @@
 
 Priority ReadPriority(JsonReader& reader) {
   Priority priority;
-  priority.id = PriorityId(reader.Text("id"));
-  priority.rank = reader.Whole("rank", 0, 31);
-  priority.group = reader.Has("group") ? reader.Whole("group", 0, 1000) : priority.rank;
+  priority.id = PriorityId(reader.String("id"));
+  priority.rank = reader.Integer("rank", 0, 31);
+  priority.group = reader.Has("group") ? reader.Integer("group", 0, 1000) : priority.rank;
   priority.target = reader.Milliseconds("target_ms", 1, kDayMs);
   priority.queue_bound = reader.Has("queue_bound_ms")
                              ? reader.Milliseconds("queue_bound_ms", 0, kDayMs)
                              : priority.target;
   priority.guaranteed_share = reader.Number("guaranteed_share", 0.0, 1.0);
-  priority.may_cross_regions = reader.Flag("may_cross_regions");
+  priority.may_cross_regions = reader.Bool("may_cross_regions");
   return priority;
 }
 
 Rule ReadRule(JsonReader& reader) {
   Rule rule;
-  rule.methods = reader.Texts("methods");
-  rule.path_prefix = reader.Text("path_prefix");
-  rule.priority = PriorityId(reader.Text("priority"));
-  rule.idempotent = reader.Flag("idempotent");
+  rule.methods = reader.StringList("methods");
+  rule.path_prefix = reader.String("path_prefix");
+  rule.priority = PriorityId(reader.String("priority"));
+  rule.idempotent = reader.Bool("idempotent");
   if (reader.Has("deadline_ms")) rule.deadline = reader.Milliseconds("deadline_ms", 1, kDayMs);
   if (!rule.path_prefix.empty() && rule.path_prefix.front() != '/') {
-    reader.Fail(FailureCode::kOutOfRange, "path_prefix", "must begin with /");
+    reader.AddFailure(FailureCode::kOutOfRange, "path_prefix", "must begin with /");
   }
   return rule;
 }
 
 HealthCheck ReadHealth(JsonReader& reader) {
   HealthCheck health;
-  health.path = reader.Text("path");
+  health.path = reader.String("path");
   health.interval = reader.Milliseconds("interval_ms", 100, kDayMs);
-  health.drain_status = static_cast<int>(reader.Whole("drain_status", 400, 599));
+  health.drain_status = static_cast<int>(reader.Integer("drain_status", 400, 599));
   reader.RejectUnknownFields();
   return health;
 }
 
 Service ReadService(JsonReader& reader) {
   Service service;
-  service.id = ServiceId(reader.Text("id"));
-  service.hosts = reader.Texts("hosts");
+  service.id = ServiceId(reader.String("id"));
+  service.hosts = reader.StringList("hosts");
   service.default_deadline = reader.Milliseconds("default_deadline_ms", 1, kDayMs);
-  service.max_body_bytes = reader.Whole("max_body_bytes", 0, kMaxBodyBytes);
+  service.max_body_bytes = reader.Integer("max_body_bytes", 0, kMaxBodyBytes);
   if (reader.Has("shed_status")) {
-    service.shed_status = static_cast<int>(reader.Whole("shed_status", 400, 599));
+    service.shed_status = static_cast<int>(reader.Integer("shed_status", 400, 599));
   }
-  if (reader.Has("subset_size")) service.subset_size = reader.Whole("subset_size", 1, kMaxServers);
+  if (reader.Has("subset_size"))
+    service.subset_size = reader.Integer("subset_size", 1, kMaxServers);
   if (reader.Has("health")) {
     JsonReader health = reader.Object("health");
     service.health = ReadHealth(health);
@@ -109,62 +111,64 @@
   if (address.empty()) return;
   const Result<Endpoint> endpoint = ParseEndpoint(address);
   if (endpoint && endpoint.value().port > 0) return;
-  reader.Fail(FailureCode::kInvalidAddress, field, "must be IP:PORT");
+  reader.AddFailure(FailureCode::kInvalidAddress, field, "must be IP:PORT");
 }
 
 BackendServer ReadServer(JsonReader& reader) {
   BackendServer server;
-  server.id = BackendServerId(reader.Text("id"));
-  server.service = ServiceId(reader.Text("service"));
-  server.address = reader.Text("address");
-  server.peer_address = reader.Text("peer_address");
-  server.region = RegionId(reader.Text("region"));
-  server.data_centre = DataCentreId(reader.Text("data_centre"));
-  server.slots = reader.Whole("slots", 1, 10000);
-  server.connections = reader.Whole("connections", 1, 100000);
-  if (reader.Has("peer_public_key")) server.peer_public_key = reader.Text("peer_public_key");
+  server.id = BackendServerId(reader.String("id"));
+  server.service = ServiceId(reader.String("service"));
+  server.address = reader.String("address");
+  server.peer_address = reader.String("peer_address");
+  server.region = RegionId(reader.String("region"));
+  server.data_centre = DataCentreId(reader.String("data_centre"));
+  server.slots = reader.Integer("slots", 1, 10000);
+  server.connections = reader.Integer("connections", 1, 100000);
+  if (reader.Has("peer_public_key")) server.peer_public_key = reader.String("peer_public_key");
   CheckAddress(reader, "address", server.address);
   CheckAddress(reader, "peer_address", server.peer_address);
   constexpr std::size_t kZ85KeyLength = 40;
   if (!server.peer_public_key.empty() && server.peer_public_key.size() != kZ85KeyLength) {
-    reader.Fail(FailureCode::kInvalidKey, "peer_public_key", "must be a Z85 key of 40 characters");
+    reader.AddFailure(FailureCode::kInvalidKey, "peer_public_key",
+                      "must be a Z85 key of 40 characters");
   }
   if (server.connections < server.slots) {
-    reader.Fail(FailureCode::kOutOfRange, "connections", "must not be fewer than slots");
+    reader.AddFailure(FailureCode::kOutOfRange, "connections", "must not be fewer than slots");
   }
   return server;
 }
 
 RoutePart ReadPart(JsonReader& reader) {
   RoutePart part;
-  part.service = ServiceId(reader.Text("service"));
+  part.service = ServiceId(reader.String("service"));
   part.weight = reader.Number("weight", 0.0, 1e6);
   return part;
 }
 
 Route ReadRoute(JsonReader& reader) {
   Route route;
-  route.id = RouteId(reader.Text("id"));
-  route.host = reader.Text("host");
-  route.path_prefix = reader.Text("path_prefix");
-  route.priority = PriorityId(reader.Text("priority"));
-  route.idempotent = reader.Flag("idempotent");
+  route.id = RouteId(reader.String("id"));
+  route.host = reader.String("host");
+  route.path_prefix = reader.String("path_prefix");
+  route.priority = PriorityId(reader.String("priority"));
+  route.idempotent = reader.Bool("idempotent");
   route.timeout = reader.Milliseconds("timeout_ms", 1, kDayMs);
-  route.attempts = reader.Whole("attempts", 1, kMaxRouteAttempts);
+  route.attempts = reader.Integer("attempts", 1, kMaxRouteAttempts);
   route.parts = ReadList<RoutePart>(reader, "parts", ReadPart);
   if (route.path_prefix.empty() || route.path_prefix.front() != '/') {
-    reader.Fail(FailureCode::kOutOfRange, "path_prefix", "must begin with /");
+    reader.AddFailure(FailureCode::kOutOfRange, "path_prefix", "must begin with /");
   }
   double sum = 0.0;
   for (const RoutePart& part : route.parts) sum += part.weight;
-  if (sum <= 0.0) reader.Fail(FailureCode::kImpossibleShare, "parts", "must have some weight");
+  if (sum <= 0.0)
+    reader.AddFailure(FailureCode::kImpossibleShare, "parts", "must have some weight");
   return route;
 }
 
 CallerBounds ReadCallerBounds(JsonReader reader) {
   CallerBounds bounds;
-  bounds.header_bytes = reader.Whole("header_bytes", 1, kMaxBodyBytes);
-  bounds.body_bytes = reader.Whole("body_bytes", 0, kMaxCallerBodyBytes);
+  bounds.header_bytes = reader.Integer("header_bytes", 1, kMaxBodyBytes);
+  bounds.body_bytes = reader.Integer("body_bytes", 0, kMaxCallerBodyBytes);
   bounds.header_timeout = reader.Milliseconds("header_timeout_ms", 1, kDayMs);
   bounds.idle_timeout = reader.Milliseconds("idle_timeout_ms", 1, kDayMs);
   reader.RejectUnknownFields();
@@ -174,13 +178,13 @@
 Budgets ReadBudgets(JsonReader reader) {
   Budgets budgets;
   budgets.measuring_bytes_per_second =
-      reader.Whole("measuring_bytes_per_second", 0, kMaxBytesPerSecond);
+      reader.Integer("measuring_bytes_per_second", 0, kMaxBytesPerSecond);
   budgets.probes_per_second = reader.Number("probes_per_second", 0.0, 1000.0);
   budgets.paid_link_bytes_per_second =
-      reader.Whole("paid_link_bytes_per_second", 0, kMaxBytesPerSecond);
+      reader.Integer("paid_link_bytes_per_second", 0, kMaxBytesPerSecond);
   budgets.retry_share = reader.Number("retry_share", 0.0, 1.0);
   budgets.hedge_share = reader.Number("hedge_share", 0.0, 1.0);
-  if (reader.Has("refusals_are_free")) budgets.refusals_are_free = reader.Flag("refusals_are_free");
+  if (reader.Has("refusals_are_free")) budgets.refusals_are_free = reader.Bool("refusals_are_free");
   if (reader.Has("fleet_retry_floor")) {
     budgets.fleet_retry_floor = reader.Number("fleet_retry_floor", 0.0, 1e6);
   }
@@ -198,19 +202,19 @@
   for (const Priority& priority : priorities) {
     sum += priority.guaranteed_share;
     if (ranks.insert(priority.rank).second) continue;
-    root.Fail(FailureCode::kDuplicateId, "priorities",
-              "rank " + std::to_string(priority.rank) + " is declared twice");
+    root.AddFailure(FailureCode::kDuplicateId, "priorities",
+                    "rank " + std::to_string(priority.rank) + " is declared twice");
   }
   for (std::size_t index = 1; index < priorities.size(); ++index) {
     if (priorities[index - 1].group <= priorities[index].group) continue;
-    root.Fail(FailureCode::kOutOfRange, "priorities", "the groups must follow the ranks");
+    root.AddFailure(FailureCode::kOutOfRange, "priorities", "the groups must follow the ranks");
   }
   if (sum > 1.0 + kShareTolerance) {
-    root.Fail(FailureCode::kImpossibleShare, "priorities",
-              "the guaranteed shares add up to more than 1");
+    root.AddFailure(FailureCode::kImpossibleShare, "priorities",
+                    "the guaranteed shares add up to more than 1");
   }
   if (priorities.empty()) {
-    root.Fail(FailureCode::kMissingField, "priorities", "must name at least one priority");
+    root.AddFailure(FailureCode::kMissingField, "priorities", "must name at least one priority");
   }
 }
 
@@ -221,42 +225,42 @@
     const std::string path = "services[" + std::to_string(index) + "]";
     for (const std::string& host : service.hosts) {
       if (!hosts.insert(host).second) {
-        root.Fail(FailureCode::kDuplicateId, path + ".hosts",
-                  "\"" + host + "\" belongs to two services");
+        root.AddFailure(FailureCode::kDuplicateId, path + ".hosts",
+                        "\"" + host + "\" belongs to two services");
       }
     }
     for (std::size_t rule = 0; rule < service.rules.size(); ++rule) {
       if (service.rules[rule].priority.IsEmpty()) continue;
       if (declaration.FindPriority(service.rules[rule].priority) != nullptr) continue;
-      root.Fail(FailureCode::kUnknownReference,
-                path + ".rules[" + std::to_string(rule) + "].priority",
-                "\"" + service.rules[rule].priority.Value() + "\" is not a declared priority");
+      root.AddFailure(
+          FailureCode::kUnknownReference, path + ".rules[" + std::to_string(rule) + "].priority",
+          "\"" + service.rules[rule].priority.Value() + "\" is not a declared priority");
     }
   }
 }
 
 void CheckRoutes(JsonReader& root, const Declaration& declaration) {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> host_prefixes;
   for (std::size_t index = 0; index < declaration.routes.size(); ++index) {
     const Route& route = declaration.routes[index];
     const std::string path = "routes[" + std::to_string(index) + "]";
-    if (!places.emplace(route.host, route.path_prefix).second) {
-      root.Fail(FailureCode::kDuplicateId, path + ".path_prefix",
-                "another route has the same host and prefix");
+    if (!host_prefixes.emplace(route.host, route.path_prefix).second) {
+      root.AddFailure(FailureCode::kDuplicateId, path + ".path_prefix",
+                      "another route has the same host and prefix");
     }
     if (!route.priority.IsEmpty() && declaration.FindPriority(route.priority) == nullptr) {
-      root.Fail(FailureCode::kUnknownReference, path + ".priority",
-                "\"" + route.priority.Value() + "\" is not a declared priority");
+      root.AddFailure(FailureCode::kUnknownReference, path + ".priority",
+                      "\"" + route.priority.Value() + "\" is not a declared priority");
     }
     for (const RoutePart& part : route.parts) {
       if (part.service.IsEmpty() || declaration.FindService(part.service) != nullptr) continue;
-      root.Fail(FailureCode::kUnknownReference, path + ".parts",
-                "\"" + part.service.Value() + "\" is not a declared service");
+      root.AddFailure(FailureCode::kUnknownReference, path + ".parts",
+                      "\"" + part.service.Value() + "\" is not a declared service");
     }
   }
 }
 
-bool IsDeclaredPlace(const Declaration& declaration, const BackendServer& server) {
+bool IsDeclaredLocation(const Declaration& declaration, const BackendServer& server) {
   for (const Region& region : declaration.regions) {
     if (region.id != server.region) continue;
     return std::find(region.data_centres.begin(), region.data_centres.end(), server.data_centre) !=
@@ -271,17 +275,17 @@
     const BackendServer& server = declaration.backend_servers[index];
     const std::string path = "backend_servers[" + std::to_string(index) + "]";
     if (!server.service.IsEmpty() && declaration.FindService(server.service) == nullptr) {
-      root.Fail(FailureCode::kUnknownReference, path + ".service",
-                "\"" + server.service.Value() + "\" is not a declared service");
+      root.AddFailure(FailureCode::kUnknownReference, path + ".service",
+                      "\"" + server.service.Value() + "\" is not a declared service");
     }
-    if (!server.data_centre.IsEmpty() && !IsDeclaredPlace(declaration, server)) {
-      root.Fail(FailureCode::kUnknownReference, path + ".data_centre",
-                "\"" + server.data_centre.Value() + "\" is not a data centre of region \"" +
-                    server.region.Value() + "\"");
+    if (!server.data_centre.IsEmpty() && !IsDeclaredLocation(declaration, server)) {
+      root.AddFailure(FailureCode::kUnknownReference, path + ".data_centre",
+                      "\"" + server.data_centre.Value() + "\" is not a data centre of region \"" +
+                          server.region.Value() + "\"");
     }
     if (!server.peer_address.empty() && !peer_addresses.insert(server.peer_address).second) {
-      root.Fail(FailureCode::kDuplicateId, path + ".peer_address",
-                "\"" + server.peer_address + "\" is declared twice");
+      root.AddFailure(FailureCode::kDuplicateId, path + ".peer_address",
+                      "\"" + server.peer_address + "\" is declared twice");
     }
   }
 }
@@ -302,7 +306,7 @@
   }
   JsonReader root(document.object(), std::string(file), "", parsed.failures);
   Declaration& declaration = parsed.declaration;
-  root.Whole("format", 1, 1);
+  root.Integer("format", 1, 1);
   declaration.regions = ReadList<Region>(root, "regions", ReadRegion);
   declaration.priorities = ReadList<Priority>(root, "priorities", ReadPriority);
   declaration.services = ReadList<Service>(root, "services", ReadService);
--- a/src/libs/declaration/jsonreader.cpp
+++ b/src/libs/declaration/jsonreader.cpp
@@ -36,116 +36,116 @@
       m_path(std::move(path)),
       m_failures(failures) {}
 
-std::optional<QJsonValue> JsonReader::Take(std::string_view field) {
-  m_known.emplace(field);
+std::optional<QJsonValue> JsonReader::FindRequired(std::string_view field) {
+  m_requested_fields.emplace(field);
   const auto found = m_object.constFind(ToQString(field));
   if (found == m_object.constEnd()) {
-    Fail(FailureCode::kMissingField, field, "is required");
+    AddFailure(FailureCode::kMissingField, field, "is required");
     return std::nullopt;
   }
   return *found;
 }
 
-std::string JsonReader::Text(std::string_view field) {
-  const std::optional<QJsonValue> value = Take(field);
+std::string JsonReader::String(std::string_view field) {
+  const std::optional<QJsonValue> value = FindRequired(field);
   if (!value) return {};
   if (!value->isString() || value->toString().isEmpty()) {
-    Fail(FailureCode::kWrongType, field, "must be a text that is not empty");
+    AddFailure(FailureCode::kWrongType, field, "must be a text that is not empty");
     return {};
   }
   return value->toString().toStdString();
 }
 
 double JsonReader::Number(std::string_view field, double low, double high) {
-  const std::optional<QJsonValue> value = Take(field);
+  const std::optional<QJsonValue> value = FindRequired(field);
   if (!value) return low;
   if (!value->isDouble()) {
-    Fail(FailureCode::kWrongType, field, "must be a number");
+    AddFailure(FailureCode::kWrongType, field, "must be a number");
     return low;
   }
   const double number = value->toDouble();
   if (number < low || number > high) {
-    Fail(FailureCode::kOutOfRange, field,
-         "must be from " + QString::number(low).toStdString() + " to " +
-             QString::number(high).toStdString());
+    AddFailure(FailureCode::kOutOfRange, field,
+               "must be from " + QString::number(low).toStdString() + " to " +
+                   QString::number(high).toStdString());
     return low;
   }
   return number;
 }
 
-std::size_t JsonReader::Whole(std::string_view field, std::size_t low, std::size_t high) {
+std::size_t JsonReader::Integer(std::string_view field, std::size_t low, std::size_t high) {
   const double number = Number(field, static_cast<double>(low), static_cast<double>(high));
   if (number != std::floor(number)) {
-    Fail(FailureCode::kWrongType, field, "must be a whole number");
+    AddFailure(FailureCode::kWrongType, field, "must be a whole number");
     return low;
   }
   return static_cast<std::size_t>(number);
 }
 
 Duration JsonReader::Milliseconds(std::string_view field, std::size_t low, std::size_t high) {
-  return std::chrono::milliseconds(Whole(field, low, high));
+  return std::chrono::milliseconds(Integer(field, low, high));
 }
 
-bool JsonReader::Flag(std::string_view field) {
-  const std::optional<QJsonValue> value = Take(field);
+bool JsonReader::Bool(std::string_view field) {
+  const std::optional<QJsonValue> value = FindRequired(field);
   if (!value) return false;
-  if (!value->isBool()) Fail(FailureCode::kWrongType, field, "must be true or false");
+  if (!value->isBool()) AddFailure(FailureCode::kWrongType, field, "must be true or false");
   return value->toBool();
 }
 
-std::vector<std::string> JsonReader::Texts(std::string_view field) {
-  std::vector<std::string> texts;
+std::vector<std::string> JsonReader::StringList(std::string_view field) {
+  std::vector<std::string> strings;
   for (const auto& value : Array(field)) {
     if (!value.isString() || value.toString().isEmpty()) {
-      Fail(FailureCode::kWrongType, field, "must be a list of texts");
+      AddFailure(FailureCode::kWrongType, field, "must be a list of texts");
       return {};
     }
-    texts.push_back(value.toString().toStdString());
+    strings.push_back(value.toString().toStdString());
   }
-  return texts;
+  return strings;
 }
 
 QJsonArray JsonReader::Array(std::string_view field) {
-  const std::optional<QJsonValue> value = Take(field);
+  const std::optional<QJsonValue> value = FindRequired(field);
   if (!value) return {};
-  if (!value->isArray()) Fail(FailureCode::kWrongType, field, "must be a list");
+  if (!value->isArray()) AddFailure(FailureCode::kWrongType, field, "must be a list");
   return value->toArray();
 }
 
 bool JsonReader::Has(std::string_view field) {
-  m_known.emplace(field);
+  m_requested_fields.emplace(field);
   return m_object.contains(ToQString(field));
 }
 
 JsonReader JsonReader::Object(std::string_view field) {
-  const std::optional<QJsonValue> value = Take(field);
-  if (value && !value->isObject()) Fail(FailureCode::kWrongType, field, "must be an object");
+  const std::optional<QJsonValue> value = FindRequired(field);
+  if (value && !value->isObject()) AddFailure(FailureCode::kWrongType, field, "must be an object");
   return JsonReader(value ? value->toObject() : QJsonObject(), m_file, PathOf(field), m_failures);
 }
 
 JsonReader JsonReader::Element(std::string_view field, int index, const QJsonValue& value) {
   const std::string path = PathOf(field) + "[" + std::to_string(index) + "]";
-  if (!value.isObject()) Fail(FailureCode::kWrongType, field, "must be a list of objects");
+  if (!value.isObject()) AddFailure(FailureCode::kWrongType, field, "must be a list of objects");
   return JsonReader(value.toObject(), m_file, path, m_failures);
 }
 
 void JsonReader::RejectUnknownFields() {
   for (auto field = m_object.constBegin(); field != m_object.constEnd(); ++field) {
     const std::string name = field.key().toStdString();
-    if (m_known.contains(name)) continue;
+    if (m_requested_fields.contains(name)) continue;
     const std::string stem = WithoutUnit(name);
     bool wrong_unit = false;
-    for (const std::string& known : m_known) {
-      if (WithoutUnit(known) != stem || known == stem) continue;
-      Fail(FailureCode::kWrongUnit, name, "the unit must be that of \"" + known + "\"");
+    for (const std::string& requested : m_requested_fields) {
+      if (WithoutUnit(requested) != stem || requested == stem) continue;
+      AddFailure(FailureCode::kWrongUnit, name, "the unit must be that of \"" + requested + "\"");
       wrong_unit = true;
       break;
     }
-    if (!wrong_unit) Fail(FailureCode::kUnknownField, name, "is not a known field");
+    if (!wrong_unit) AddFailure(FailureCode::kUnknownField, name, "is not a known field");
   }
 }
 
-void JsonReader::Fail(FailureCode code, std::string_view field, std::string detail) {
+void JsonReader::AddFailure(FailureCode code, std::string_view field, std::string detail) {
   m_failures.push_back(Failure{code, m_file + ": " + PathOf(field), std::move(detail)});
 }
 
--- a/src/libs/declaration/jsonreader.h
+++ b/src/libs/declaration/jsonreader.h
@@ -24,12 +24,12 @@
              std::vector<Failure>& failures);
 
   // Each reads a required field; on failure it notes the failure and returns an empty value.
-  std::string Text(std::string_view field);
+  std::string String(std::string_view field);
   double Number(std::string_view field, double low, double high);
-  std::size_t Whole(std::string_view field, std::size_t low, std::size_t high);
+  std::size_t Integer(std::string_view field, std::size_t low, std::size_t high);
   Duration Milliseconds(std::string_view field, std::size_t low, std::size_t high);
-  bool Flag(std::string_view field);
-  std::vector<std::string> Texts(std::string_view field);
+  bool Bool(std::string_view field);
+  std::vector<std::string> StringList(std::string_view field);
   QJsonArray Array(std::string_view field);
   // Whether the field is there. Asking marks it as known.
   bool Has(std::string_view field);
@@ -43,18 +43,18 @@
   void RejectUnknownFields();
 
   // Notes a failure at a field of this object, or at the object itself if `field` is empty.
-  void Fail(FailureCode code, std::string_view field, std::string detail);
+  void AddFailure(FailureCode code, std::string_view field, std::string detail);
 
   std::string PathOf(std::string_view field) const;
 
  private:
-  std::optional<QJsonValue> Take(std::string_view field);
+  std::optional<QJsonValue> FindRequired(std::string_view field);
 
   QJsonObject m_object;
   std::string m_file;
   std::string m_path;
   std::vector<Failure>& m_failures;
-  std::set<std::string> m_known;
+  std::set<std::string> m_requested_fields;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -273,7 +273,7 @@
   return m_router.Outstanding(peer) > 0;
 }
 
-wire::OwnerState Node::OwnState() const { return m_owner.State(); }
+wire::OwnerState Node::LocalOwnerState() const { return m_owner.State(); }
 
 bool Node::IsAllowedPeer(const BackendServerId& peer, const std::string& public_key) const {
   const std::shared_ptr<const Declaration> declaration = m_declaration.load();
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -58,7 +58,7 @@
   void OnMessage(const ReplyRoute& route, wire::Envelope message) override;
   void OnSendFailed(const BackendServerId& peer, wire::Envelope message) override;
   bool HasOutstandingCalls(const BackendServerId& peer) const override;
-  wire::OwnerState OwnState() const override;
+  wire::OwnerState LocalOwnerState() const override;
   bool IsAllowedPeer(const BackendServerId& peer, const std::string& public_key) const override;
   void OnControlBytes(const BackendServerId& peer, std::size_t sent, std::size_t received) override;
 
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -58,9 +58,10 @@
 
 std::string EnvironmentName(std::string_view flag) {
   std::string name = "DAMASKHOLLOW_";
-  for (const char letter : flag.substr(2)) {
-    name +=
-        letter == '-' ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(letter)));
+  for (const char character : flag.substr(2)) {
+    name += character == '-'
+                ? '_'
+                : static_cast<char>(std::toupper(static_cast<unsigned char>(character)));
   }
   return name;
 }
@@ -69,8 +70,8 @@
   return Failure{FailureCode::kInvalidSetting, std::string(flag), std::move(detail)};
 }
 
-using FieldParser = Result<void> (*)(NodeSettings&, std::string_view flag,
-                                     const std::string& value);
+using SettingParser = Result<void> (*)(NodeSettings&, std::string_view flag,
+                                       const std::string& value);
 
 template <auto Member>
 Result<void> ParseText(NodeSettings& settings, std::string_view, const std::string& value) {
@@ -162,38 +163,42 @@
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-struct Field {
+struct SettingDefinition {
   std::string_view flag;
-  FieldParser parse;
+  SettingParser parse;
 };
 
 constexpr std::size_t kMegabyte = 1024UL * 1024UL;
 constexpr std::size_t kDayMs = 86400000;
 
-constexpr std::array kFields{
-    Field{"--server-id", ParseId<&NodeSettings::server_id>},
-    Field{"--region", ParseId<&NodeSettings::region>},
-    Field{"--data-centre", ParseId<&NodeSettings::data_centre>},
-    Field{"--listen", ParseAddress<&NodeSettings::listen>},
-    Field{"--peer-listen", ParseAddress<&NodeSettings::peer_listen>},
-    Field{"--admin-listen", ParseAddress<&NodeSettings::admin_listen>},
-    Field{"--declaration-file", ParseText<&NodeSettings::declaration_file>},
-    Field{"--configuration-url", ParseText<&NodeSettings::configuration_url>},
-    Field{"--vm-list-url", ParseText<&NodeSettings::vm_list_url>},
-    Field{"--configuration-region", ParseOptionalId<&NodeSettings::configuration_region>},
-    Field{"--seed-peers", ParsePeers<&NodeSettings::seed_peers>},
-    Field{"--peer-overrides", ParsePeers<&NodeSettings::peer_overrides>},
-    Field{"--secret-key-file", ParseText<&NodeSettings::secret_key_file>},
-    Field{"--routing-strategy", ParseStrategy},
-    Field{"--workers", ParseNumber<&NodeSettings::workers, 1, 64>},
-    Field{"--caller-connections", ParseNumber<&NodeSettings::caller_connections, 1, 65536>},
-    Field{"--body-memory-bytes",
-          ParseNumber<&NodeSettings::body_memory_bytes, kMegabyte, 1024 * kMegabyte>},
-    Field{"--drain-announce-ms", ParseNumber<&NodeSettings::drain_announce_ms, 0, kDayMs>},
-    Field{"--drain-timeout-ms", ParseNumber<&NodeSettings::drain_timeout_ms, 0, kDayMs>},
-    Field{"--crash-guard", ParseSwitch<&NodeSettings::crash_guard>},
-    Field{"--silent-link-detection", ParseSwitch<&NodeSettings::silent_link_detection>},
-    Field{"--log-level", ParseLogLevel},
+constexpr std::array kSettingDefinitions{
+    SettingDefinition{"--server-id", ParseId<&NodeSettings::server_id>},
+    SettingDefinition{"--region", ParseId<&NodeSettings::region>},
+    SettingDefinition{"--data-centre", ParseId<&NodeSettings::data_centre>},
+    SettingDefinition{"--listen", ParseAddress<&NodeSettings::listen>},
+    SettingDefinition{"--peer-listen", ParseAddress<&NodeSettings::peer_listen>},
+    SettingDefinition{"--admin-listen", ParseAddress<&NodeSettings::admin_listen>},
+    SettingDefinition{"--declaration-file", ParseText<&NodeSettings::declaration_file>},
+    SettingDefinition{"--configuration-url", ParseText<&NodeSettings::configuration_url>},
+    SettingDefinition{"--vm-list-url", ParseText<&NodeSettings::vm_list_url>},
+    SettingDefinition{"--configuration-region",
+                      ParseOptionalId<&NodeSettings::configuration_region>},
+    SettingDefinition{"--seed-peers", ParsePeers<&NodeSettings::seed_peers>},
+    SettingDefinition{"--peer-overrides", ParsePeers<&NodeSettings::peer_overrides>},
+    SettingDefinition{"--secret-key-file", ParseText<&NodeSettings::secret_key_file>},
+    SettingDefinition{"--routing-strategy", ParseStrategy},
+    SettingDefinition{"--workers", ParseNumber<&NodeSettings::workers, 1, 64>},
+    SettingDefinition{"--caller-connections",
+                      ParseNumber<&NodeSettings::caller_connections, 1, 65536>},
+    SettingDefinition{"--body-memory-bytes",
+                      ParseNumber<&NodeSettings::body_memory_bytes, kMegabyte, 1024 * kMegabyte>},
+    SettingDefinition{"--drain-announce-ms",
+                      ParseNumber<&NodeSettings::drain_announce_ms, 0, kDayMs>},
+    SettingDefinition{"--drain-timeout-ms",
+                      ParseNumber<&NodeSettings::drain_timeout_ms, 0, kDayMs>},
+    SettingDefinition{"--crash-guard", ParseSwitch<&NodeSettings::crash_guard>},
+    SettingDefinition{"--silent-link-detection", ParseSwitch<&NodeSettings::silent_link_detection>},
+    SettingDefinition{"--log-level", ParseLogLevel},
 };
 
 std::string TextOf(const docopt::value& value) {
@@ -207,7 +212,7 @@
   return false;
 }
 
-Result<void> CheckSources(const NodeSettings& settings) {
+Result<void> CheckConfigurationSource(const NodeSettings& settings) {
   const bool from_file = !settings.declaration_file.empty();
   const bool from_service = !settings.configuration_url.empty();
   if (from_file == from_service) {
@@ -237,22 +242,24 @@
 
   LoadedSettings loaded;
   loaded.print_only = parsed.at("--print-settings").asBool();
-  for (const Field& field : kFields) {
-    SettingLine line{std::string(field.flag), TextOf(parsed.at(std::string(field.flag))),
+  for (const SettingDefinition& definition : kSettingDefinitions) {
+    SettingLine line{std::string(definition.flag), TextOf(parsed.at(std::string(definition.flag))),
                      SettingOrigin::kDefault};
-    const auto variable = environment.find(EnvironmentName(field.flag));
-    if (IsGiven(arguments, field.flag)) {
+    const auto variable = environment.find(EnvironmentName(definition.flag));
+    if (IsGiven(arguments, definition.flag)) {
       line.origin = SettingOrigin::kFlag;
     } else if (variable != environment.end()) {
       line.origin = SettingOrigin::kEnvironment;
       line.value = variable->second;
     }
-    if (Result<void> result = field.parse(loaded.settings, field.flag, line.value); !result) {
+    if (Result<void> result = definition.parse(loaded.settings, definition.flag, line.value);
+        !result) {
       return result.error();
     }
     loaded.lines.push_back(std::move(line));
   }
-  if (Result<void> result = CheckSources(loaded.settings); !result) return result.error();
+  if (Result<void> result = CheckConfigurationSource(loaded.settings); !result)
+    return result.error();
   return loaded;
 }
 
--- a/src/libs/wire/acceptedlinks.cpp
+++ b/src/libs/wire/acceptedlinks.cpp
@@ -54,10 +54,10 @@
 }
 
 bool AcceptedLinks::Send(const std::string& routing_id, std::string bytes) {
-  const auto waiting = m_backlogs.find(routing_id);
-  if (waiting == m_backlogs.end()) {
-    const SendState state = TrySend(routing_id, bytes);
-    if (state != SendState::kFull) return state == SendState::kSent;
+  const auto queued = m_backlogs.find(routing_id);
+  if (queued == m_backlogs.end()) {
+    const SendResult result = TrySend(routing_id, bytes);
+    if (result != SendResult::kQueueFull) return result == SendResult::kSent;
   }
   Backlog& backlog = m_backlogs[routing_id];
   if (backlog.bytes + bytes.size() > kMaxBacklogBytes) return false;
@@ -69,29 +69,31 @@
 void AcceptedLinks::Flush() {
   for (auto entry = m_backlogs.begin(); entry != m_backlogs.end();) {
     Backlog& backlog = entry->second;
-    SendState state = SendState::kSent;
+    SendResult result = SendResult::kSent;
     while (!backlog.messages.empty()) {
-      state = TrySend(entry->first, backlog.messages.front());
-      if (state != SendState::kSent) break;
+      result = TrySend(entry->first, backlog.messages.front());
+      if (result != SendResult::kSent) break;
       backlog.bytes -= backlog.messages.front().size();
       backlog.messages.pop_front();
     }
-    entry = backlog.messages.empty() || state == SendState::kGone ? m_backlogs.erase(entry)
-                                                                  : std::next(entry);
+    entry = backlog.messages.empty() || result == SendResult::kDisconnected
+                ? m_backlogs.erase(entry)
+                : std::next(entry);
   }
 }
 
-AcceptedLinks::SendState AcceptedLinks::TrySend(const std::string& routing_id,
-                                                const std::string& bytes) {
+AcceptedLinks::SendResult AcceptedLinks::TrySend(const std::string& routing_id,
+                                                 const std::string& bytes) {
   try {
     if (!m_socket.send(zmq::buffer(routing_id),
                        zmq::send_flags::dontwait | zmq::send_flags::sndmore)) {
-      return SendState::kFull;
+      return SendResult::kQueueFull;
     }
     m_socket.send(zmq::buffer(bytes), zmq::send_flags::dontwait);
-    return SendState::kSent;
+    return SendResult::kSent;
   } catch (const zmq::error_t&) {
-    return SendState::kGone;  // ROUTER_MANDATORY reports a peer that is gone as EHOSTUNREACH.
+    return SendResult::kDisconnected;  // ROUTER_MANDATORY reports a peer that is gone as
+                                       // EHOSTUNREACH.
   }
 }
 
--- a/src/libs/wire/acceptedlinks.h
+++ b/src/libs/wire/acceptedlinks.h
@@ -47,8 +47,8 @@
     std::size_t bytes = 0;
   };
 
-  enum class SendState { kSent, kFull, kGone };
-  SendState TrySend(const std::string& routing_id, const std::string& bytes);
+  enum class SendResult { kSent, kQueueFull, kDisconnected };
+  SendResult TrySend(const std::string& routing_id, const std::string& bytes);
 
   zmq::socket_t m_socket;
   std::unordered_map<std::string, Backlog> m_backlogs;
--- a/src/libs/wire/dialledlink.cpp
+++ b/src/libs/wire/dialledlink.cpp
@@ -49,8 +49,8 @@
   m_state = State::kConnecting;
   m_connected_at = now;
   m_last_received = now;
-  m_waiting_since.reset();
-  ++m_attempts;
+  m_unanswered_since.reset();
+  ++m_connect_attempts;
 }
 
 bool DialledLink::Send(const std::string& bytes, TimePoint) {
@@ -61,43 +61,44 @@
   zmq::message_t message;
   if (!m_socket->recv(message, zmq::recv_flags::dontwait)) return std::nullopt;
   m_last_received = now;
-  if (m_state == State::kUp) m_waiting_since.reset();
+  if (m_state == State::kUp) m_unanswered_since.reset();
   return message;
 }
 
-DialledLink::Verdict DialledLink::Check(bool is_busy, const LinkTimings& timings,
-                                        TimePoint now) const {
+DialledLink::Action DialledLink::NextAction(bool is_busy, const LinkTimings& timings,
+                                            TimePoint now) const {
   if (m_state == State::kConnecting) {
-    return now - m_connected_at > ConnectTimeout(m_attempts - 1) ? Verdict::kReplace
-                                                                 : Verdict::kSendHello;
+    return now - m_connected_at > ConnectTimeout(m_connect_attempts - 1) ? Action::kReplace
+                                                                         : Action::kSendHello;
   }
-  if (m_state == State::kGreeting) {
-    return now - *m_waiting_since > kHelloTimeout || !HasConnection() ? Verdict::kReplace
-                                                                      : Verdict::kNothing;
+  if (m_state == State::kAwaitingHelloReply) {
+    return now - *m_unanswered_since > kHelloTimeout || !HasConnection() ? Action::kReplace
+                                                                         : Action::kNone;
   }
-  if (!timings.replace_silent_links) return Verdict::kNothing;
+  if (!timings.replace_silent_links) return Action::kNone;
   // Idle links too: a peer that restarted would otherwise miss what it is told for 5 s.
-  if (!HasConnection()) return Verdict::kReplace;
-  if (m_waiting_since) {
+  if (!HasConnection()) return Action::kReplace;
+  if (m_unanswered_since) {
     const bool is_silent =
-        now - *m_waiting_since > std::chrono::milliseconds(timings.pong_timeout_ms);
-    return is_silent ? Verdict::kReplace : Verdict::kNothing;
+        now - *m_unanswered_since > std::chrono::milliseconds(timings.pong_timeout_ms);
+    return is_silent ? Action::kReplace : Action::kNone;
   }
-  const std::chrono::milliseconds quiet(is_busy ? timings.busy_quiet_ms : timings.idle_quiet_ms);
-  return now - m_last_received > quiet ? Verdict::kSendPing : Verdict::kNothing;
+  const std::chrono::milliseconds ping_delay(is_busy ? timings.busy_ping_delay_ms
+                                                     : timings.idle_ping_delay_ms);
+  return now - m_last_received > ping_delay ? Action::kSendPing : Action::kNone;
 }
 
-void DialledLink::NoteHelloSent(TimePoint now) {
-  m_state = State::kGreeting;
-  m_waiting_since = now;
+void DialledLink::RecordHelloSent(TimePoint now) {
+  m_state = State::kAwaitingHelloReply;
+  m_unanswered_since = now;
 }
 
-void DialledLink::NotePingSent(TimePoint now) { m_waiting_since = now; }
+void DialledLink::RecordPingSent(TimePoint now) { m_unanswered_since = now; }
 
-void DialledLink::NoteUp() {
+void DialledLink::OnHelloReply() {
   m_state = State::kUp;
-  m_waiting_since.reset();
-  m_attempts = 0;
+  m_unanswered_since.reset();
+  m_connect_attempts = 0;
 }
 
 bool DialledLink::HasConnection() const {
--- a/src/libs/wire/dialledlink.h
+++ b/src/libs/wire/dialledlink.h
@@ -21,10 +21,10 @@
 // answers on the old one cannot be taken for new ones.
 class DialledLink {
  public:
-  enum class State { kConnecting, kGreeting, kUp };
+  enum class State { kConnecting, kAwaitingHelloReply, kUp };
 
   // What a check of the link calls for.
-  enum class Verdict { kNothing, kSendHello, kSendPing, kReplace };
+  enum class Action { kNone, kSendHello, kSendPing, kReplace };
 
   DialledLink(Endpoint endpoint, std::string public_key);
 
@@ -39,20 +39,20 @@
   std::optional<zmq::message_t> Receive(TimePoint now);
 
   // Decides what the link needs now. `is_busy` says whether calls wait for the peer.
-  Verdict Check(bool is_busy, const LinkTimings& timings, TimePoint now) const;
+  Action NextAction(bool is_busy, const LinkTimings& timings, TimePoint now) const;
 
-  void NoteHelloSent(TimePoint now);
-  void NotePingSent(TimePoint now);
-  void NoteUp();
+  void RecordHelloSent(TimePoint now);
+  void RecordPingSent(TimePoint now);
+  void OnHelloReply();
 
   State CurrentState() const { return m_state; }
   // Whether a Hello or Ping is unanswered.
-  bool AwaitsAnswer() const { return m_waiting_since.has_value(); }
+  bool IsAwaitingReply() const { return m_unanswered_since.has_value(); }
 
   // Whether there is a connection that takes messages.
   bool HasConnection() const;
 
-  const Endpoint& Remote() const { return m_endpoint; }
+  const Endpoint& RemoteEndpoint() const { return m_endpoint; }
   const std::string& PublicKey() const { return m_public_key; }
 
  private:
@@ -63,8 +63,8 @@
   std::unique_ptr<QSocketNotifier> m_notifier;
   TimePoint m_connected_at{};
   TimePoint m_last_received{};
-  std::optional<TimePoint> m_waiting_since;  // When the unanswered Hello or Ping was sent.
-  std::uint32_t m_attempts = 0;              // Connections tried since the link was last up.
+  std::optional<TimePoint> m_unanswered_since;  // When the unanswered Hello or Ping was sent.
+  std::uint32_t m_connect_attempts = 0;         // Connections tried since the link was last up.
 };
 
 }  // namespace damaskhollow
--- a/src/libs/wire/peerauthenticator.cpp
+++ b/src/libs/wire/peerauthenticator.cpp
@@ -31,11 +31,11 @@
 int PeerAuthenticator::Descriptor() const { return m_socket.get(zmq::sockopt::fd); }
 
 void PeerAuthenticator::AnswerRequests() {
-  while (AnswerOne()) {
+  while (AnswerNextRequest()) {
   }
 }
 
-bool PeerAuthenticator::AnswerOne() {
+bool PeerAuthenticator::AnswerNextRequest() {
   std::vector<zmq::message_t> frames;
   do {
     zmq::message_t frame;
--- a/src/libs/wire/peerauthenticator.h
+++ b/src/libs/wire/peerauthenticator.h
@@ -23,7 +23,7 @@
   void AnswerRequests();
 
  private:
-  bool AnswerOne();
+  bool AnswerNextRequest();
 
   zmq::socket_t m_socket;
   KeyCheck m_is_allowed;
--- a/src/libs/wire/peertransport.cpp
+++ b/src/libs/wire/peertransport.cpp
@@ -19,14 +19,14 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick{25};
+constexpr std::chrono::milliseconds kTickInterval{25};
 // Links with calls or an unanswered ping are checked ten times a second. A lost connection is told
 // by its descriptor, so the others need a look only for pings that are due.
 constexpr unsigned kTicksPerBusyCheck = 4;
 constexpr unsigned kTicksPerIdleCheck = 40;
 
 // Messages that do not belong to a call count against the measuring budget.
-bool IsControl(const wire::Envelope& message) {
+bool IsControlMessage(const wire::Envelope& message) {
   switch (message.body_case()) {
     case wire::Envelope::kHello:
     case wire::Envelope::kHelloReply:
@@ -42,7 +42,7 @@
 }
 
 // The server id in a routing id "ID#incarnation#number".
-BackendServerId PeerOfRoutingId(const std::string& routing_id) {
+BackendServerId PeerFromRoutingId(const std::string& routing_id) {
   return BackendServerId(routing_id.substr(0, routing_id.find('#')));
 }
 
@@ -65,11 +65,12 @@
  private:
   void Connect(const BackendServerId& peer, DialledLink& link);
   void Replace(const BackendServerId& peer, DialledLink& link);
-  bool SendOn(const BackendServerId& peer, DialledLink& link, const wire::Envelope& message);
+  bool SendOnLink(const BackendServerId& peer, DialledLink& link, const wire::Envelope& message);
   void ReadLink(const BackendServerId& peer);
   void ReadAccepted();
-  void HandleAccepted(const AcceptedMessage& accepted);
-  void HandleDialled(const BackendServerId& peer, DialledLink& link, const zmq::message_t& bytes);
+  void HandleAcceptedMessage(const AcceptedMessage& accepted);
+  void HandleDialledMessage(const BackendServerId& peer, DialledLink& link,
+                            const zmq::message_t& bytes);
   void Tick();
   bool IsCheckDue(const BackendServerId& peer, const DialledLink& link) const;
   void CheckLink(const BackendServerId& peer, DialledLink& link, TimePoint now);
@@ -110,7 +111,7 @@
   m_timer = std::make_unique<QTimer>();
   m_timer->setTimerType(Qt::PreciseTimer);
   QObject::connect(m_timer.get(), &QTimer::timeout, m_timer.get(), [this] { Tick(); });
-  m_timer->start(kTick);
+  m_timer->start(kTickInterval);
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
@@ -125,9 +126,10 @@
 
 void PeerTransport::Worker::OpenLink(const BackendServerId& peer, const Endpoint& endpoint,
                                      const std::string& public_key) {
-  const auto known = m_links.find(peer);
-  if (known != m_links.end()) {
-    if (known->second.Remote() == endpoint && known->second.PublicKey() == public_key) return;
+  const auto existing = m_links.find(peer);
+  if (existing != m_links.end()) {
+    if (existing->second.RemoteEndpoint() == endpoint && existing->second.PublicKey() == public_key)
+      return;
     CloseLink(peer);
   }
   DialledLink& link = m_links.emplace(peer, DialledLink(endpoint, public_key)).first->second;
@@ -160,11 +162,11 @@
   m_handler.OnLinkDown(peer);
 }
 
-bool PeerTransport::Worker::SendOn(const BackendServerId& peer, DialledLink& link,
-                                   const wire::Envelope& message) {
+bool PeerTransport::Worker::SendOnLink(const BackendServerId& peer, DialledLink& link,
+                                       const wire::Envelope& message) {
   const std::string bytes = message.SerializeAsString();
   if (!link.Send(bytes, MonotonicNow())) return false;
-  if (IsControl(message)) m_handler.OnControlBytes(peer, bytes.size(), 0);
+  if (IsControlMessage(message)) m_handler.OnControlBytes(peer, bytes.size(), 0);
   return true;
 }
 
@@ -172,7 +174,7 @@
   const auto found = m_links.find(peer);
   const bool is_up =
       found != m_links.end() && found->second.CurrentState() == DialledLink::State::kUp;
-  if (!is_up || !SendOn(peer, found->second, message)) {
+  if (!is_up || !SendOnLink(peer, found->second, message)) {
     m_handler.OnSendFailed(peer, std::move(message));
     return;
   }
@@ -183,7 +185,7 @@
 void PeerTransport::Worker::Reply(const ReplyRoute& route, const wire::Envelope& message) {
   const std::string bytes = message.SerializeAsString();
   const std::size_t size = bytes.size();
-  if (m_accepted->Send(route.routing_id, bytes) && IsControl(message)) {
+  if (m_accepted->Send(route.routing_id, bytes) && IsControlMessage(message)) {
     m_handler.OnControlBytes(route.peer, size, 0);
   }
   ReadAccepted();
@@ -196,20 +198,20 @@
     if (found == m_links.end()) return;
     const std::optional<zmq::message_t> bytes = found->second.Receive(MonotonicNow());
     if (!bytes) return;
-    HandleDialled(peer, found->second, *bytes);
+    HandleDialledMessage(peer, found->second, *bytes);
   }
 }
 
-void PeerTransport::Worker::HandleDialled(const BackendServerId& peer, DialledLink& link,
-                                          const zmq::message_t& bytes) {
+void PeerTransport::Worker::HandleDialledMessage(const BackendServerId& peer, DialledLink& link,
+                                                 const zmq::message_t& bytes) {
   wire::Envelope message;
   if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
     EventLine(LogPart::kLink, LogLevel::kWarning, "malformed_message").With("server", peer.Value());
     return;
   }
-  if (IsControl(message)) m_handler.OnControlBytes(peer, 0, bytes.size());
-  if (message.has_hello_reply() && link.CurrentState() == DialledLink::State::kGreeting) {
-    link.NoteUp();
+  if (IsControlMessage(message)) m_handler.OnControlBytes(peer, 0, bytes.size());
+  if (message.has_hello_reply() && link.CurrentState() == DialledLink::State::kAwaitingHelloReply) {
+    link.OnHelloReply();
     m_handler.OnLinkUp(peer, message.hello_reply().state());
     return;
   }
@@ -217,11 +219,12 @@
 }
 
 void PeerTransport::Worker::ReadAccepted() {
-  while (std::optional<AcceptedMessage> accepted = m_accepted->Receive()) HandleAccepted(*accepted);
+  while (std::optional<AcceptedMessage> accepted = m_accepted->Receive())
+    HandleAcceptedMessage(*accepted);
 }
 
-void PeerTransport::Worker::HandleAccepted(const AcceptedMessage& accepted) {
-  const ReplyRoute route{PeerOfRoutingId(accepted.routing_id), accepted.routing_id};
+void PeerTransport::Worker::HandleAcceptedMessage(const AcceptedMessage& accepted) {
+  const ReplyRoute route{PeerFromRoutingId(accepted.routing_id), accepted.routing_id};
   if (!m_handler.IsAllowedPeer(route.peer, accepted.public_key)) {
     EventLine(LogPart::kLink, LogLevel::kWarning, "unknown_peer")
         .With("server", route.peer.Value());
@@ -233,14 +236,14 @@
         .With("server", route.peer.Value());
     return;
   }
-  if (IsControl(message)) m_handler.OnControlBytes(route.peer, 0, accepted.body.size());
+  if (IsControlMessage(message)) m_handler.OnControlBytes(route.peer, 0, accepted.body.size());
   wire::Envelope answer;
   if (message.has_hello()) {
-    *answer.mutable_hello_reply()->mutable_state() = m_handler.OwnState();
+    *answer.mutable_hello_reply()->mutable_state() = m_handler.LocalOwnerState();
     Reply(route, answer);
   } else if (message.has_ping()) {
     answer.mutable_pong()->set_sequence(message.ping().sequence());
-    *answer.mutable_pong()->mutable_state() = m_handler.OwnState();
+    *answer.mutable_pong()->mutable_state() = m_handler.LocalOwnerState();
     Reply(route, answer);
   } else {
     m_handler.OnMessage(route, std::move(message));
@@ -251,7 +254,7 @@
   if (link.CurrentState() != DialledLink::State::kUp) return true;
   if (m_tick_number % kTicksPerIdleCheck == 0) return true;
   if (m_tick_number % kTicksPerBusyCheck != 0) return false;
-  return link.AwaitsAnswer() || m_handler.HasOutstandingCalls(peer);
+  return link.IsAwaitingReply() || m_handler.HasOutstandingCalls(peer);
 }
 
 void PeerTransport::Worker::Tick() {
@@ -281,20 +284,20 @@
   const bool is_busy =
       link.CurrentState() == DialledLink::State::kUp && m_handler.HasOutstandingCalls(peer);
   wire::Envelope message;
-  switch (link.Check(is_busy, m_options.timings, now)) {
-    case DialledLink::Verdict::kNothing:
+  switch (link.NextAction(is_busy, m_options.timings, now)) {
+    case DialledLink::Action::kNone:
       break;
-    case DialledLink::Verdict::kSendHello:
+    case DialledLink::Action::kSendHello:
       message.mutable_hello()->set_server_id(m_options.self.Value());
       message.mutable_hello()->set_incarnation(m_options.incarnation.value);
-      if (SendOn(peer, link, message)) link.NoteHelloSent(now);
+      if (SendOnLink(peer, link, message)) link.RecordHelloSent(now);
       break;
-    case DialledLink::Verdict::kSendPing:
+    case DialledLink::Action::kSendPing:
       message.mutable_ping()->set_sequence(m_next_ping++);
-      SendOn(peer, link, message);
-      link.NotePingSent(now);
+      SendOnLink(peer, link, message);
+      link.RecordPingSent(now);
       break;
-    case DialledLink::Verdict::kReplace:
+    case DialledLink::Action::kReplace:
       Replace(peer, link);
       return;
   }
--- a/src/libs/wire/peertransport.h
+++ b/src/libs/wire/peertransport.h
@@ -51,7 +51,7 @@
   virtual bool HasOutstandingCalls(const BackendServerId& peer) const = 0;
 
   // What this node says of itself in Hello replies and Pongs.
-  virtual wire::OwnerState OwnState() const = 0;
+  virtual wire::OwnerState LocalOwnerState() const = 0;
 
   // Whether a node with this id, and with this public key if links are encrypted, may connect.
   virtual bool IsAllowedPeer(const BackendServerId& peer, const std::string& public_key) const = 0;
@@ -64,9 +64,9 @@
 // How quickly silent links are noticed.
 struct LinkTimings {
   std::uint32_t connect_retry_ms = 25;
-  std::uint32_t busy_quiet_ms = 200;    // Nothing received with calls outstanding: ping.
-  std::uint32_t idle_quiet_ms = 5000;   // Nothing received on an idle link: ping.
-  std::uint32_t pong_timeout_ms = 400;  // No message after a ping: silent.
+  std::uint32_t busy_ping_delay_ms = 200;   // Nothing received with calls outstanding: ping.
+  std::uint32_t idle_ping_delay_ms = 5000;  // Nothing received on an idle link: ping.
+  std::uint32_t pong_timeout_ms = 400;      // No message after a ping: silent.
   bool replace_silent_links = true;
 };
 
--- a/tests/auto/declaration/tst_declarationdiff.cpp
+++ b/tests/auto/declaration/tst_declarationdiff.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::string_view kOld = R"({
+constexpr std::string_view kBefore = R"({
  "format": 1,
  "regions": [{"id": "finistere", "data_centres": ["brest"]}],
  "priorities": [{"id": "clerk", "rank": 0, "target_ms": 300, "guaranteed_share": 0.4, "may_cross_regions": true},
@@ -88,13 +88,13 @@
 
  public:
   void FindsNothingInEqualDeclarations() {
-    CPPUNIT_ASSERT(DeclarationDiff(Parse(kOld), Parse(kOld)).Changes().empty());
+    CPPUNIT_ASSERT(DeclarationDiff(Parse(kBefore), Parse(kBefore)).Changes().empty());
   }
 
   // Guards against a change that a review of the difference would not show.
   void FindsEachChangedField() {
     for (const DiffCase& row : kCases) {
-      const DeclarationDiff diff(Parse(kOld), Parse(Replaced(kOld, row.from, row.to)));
+      const DeclarationDiff diff(Parse(kBefore), Parse(Replaced(kBefore, row.from, row.to)));
       const std::string name(row.to);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(name, std::size_t{1}, diff.Changes().size());
       const DeclarationChange& change = diff.Changes().front();
@@ -109,7 +109,7 @@
 
   // Guards against a renamed server that shows as one changed entry, or not at all.
   void FindsAddedAndRemovedEntries() {
-    const DeclarationDiff diff(Parse(kOld), Parse(Replaced(kOld, "portail-1", "portail-2")));
+    const DeclarationDiff diff(Parse(kBefore), Parse(Replaced(kBefore, "portail-1", "portail-2")));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, diff.Changes().size());
     CPPUNIT_ASSERT(diff.Changes()[0].kind == ChangeKind::kRemoved);
     CPPUNIT_ASSERT_EQUAL(std::string("backend server portail-1"), diff.Changes()[0].subject);
@@ -119,9 +119,9 @@
 
   // The first of two matching rules with equally long prefixes counts, so their order matters.
   void FindsChangedOrderOfRules() {
-    Declaration after = Parse(kOld);
+    Declaration after = Parse(kBefore);
     std::swap(after.services[0].rules[0], after.services[0].rules[1]);
-    const DeclarationDiff diff(Parse(kOld), after);
+    const DeclarationDiff diff(Parse(kBefore), after);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, diff.Changes().size());
     CPPUNIT_ASSERT_EQUAL(std::string("order"), diff.Changes().front().field);
   }
