--- a/src/libs/wire/acceptedlinks.cpp
+++ b/src/libs/wire/acceptedlinks.cpp
@@ -9,7 +9,7 @@
 constexpr int kHighWaterMark = 1000;
 constexpr std::int64_t kMaxMessageBytes = 9LL * 1024LL * 1024LL;
 constexpr std::size_t kMaxBacklogBytes = 2UL * 1024UL * 1024UL;
-// Frees accepted links whose peer vanished without closing them.
+// Heartbeats detect peers that disappeared without closing their link, so that ZeroMQ frees it.
 constexpr int kHeartbeatIntervalMs = 15000;
 constexpr int kHeartbeatTimeoutMs = 45000;
 
@@ -44,7 +44,8 @@
   zmq::message_t routing_id;
   if (!m_socket.recv(routing_id, zmq::recv_flags::dontwait)) return std::nullopt;
   AcceptedMessage message{routing_id.to_string(), {}, {}};
-  // A message is one frame; further frames come only from a foreign program and are dropped.
+  // Nodes send messages of a single frame. Of a multi-frame message from any other program only the
+  // last frame is used.
   while (m_socket.get(zmq::sockopt::rcvmore)) {
     if (!m_socket.recv(message.body, zmq::recv_flags::dontwait)) break;
   }
--- a/src/libs/wire/acceptedlinks.h
+++ b/src/libs/wire/acceptedlinks.h
@@ -14,34 +14,37 @@
 
 namespace damaskhollow {
 
-// A message from an accepted link.
+// A message received on an accepted link.
 struct AcceptedMessage {
   std::string routing_id;
   std::string public_key;  // Empty unless the link is encrypted.
   zmq::message_t body;
 };
 
-// The listening end of a node: a ZeroMQ ROUTER socket, with a bounded queue for peers that read too
-// slowly.
+// Accepts the links that other nodes dial. Wraps a ZeroMQ ROUTER socket and keeps a bounded send
+// queue for each peer that reads too slowly. Used on the thread of PeerTransport only.
 class AcceptedLinks {
  public:
   AcceptedLinks(zmq::context_t& context, const LinkKeys& keys);
 
-  // Fails with kSocket if the endpoint cannot be bound.
+  // Binds the socket. Fails with kSocket if the endpoint cannot be bound.
   Result<void> Listen(const Endpoint& endpoint);
 
+  // The file descriptor that becomes readable when the socket has events.
   int Descriptor() const;
 
+  // Returns the next received message, or nothing if there is none. Does not block.
   std::optional<AcceptedMessage> Receive();
 
-  // Sends in order; what the peer cannot take yet waits. Returns false if the link is gone or its
-  // queue is full.
+  // Sends a message, or queues it in order if the peer cannot accept it yet. Returns false if the
+  // peer is disconnected or its queue is full.
   bool Send(const std::string& routing_id, std::string bytes);
 
-  // Tries again to send what waits.
+  // Retries sending the queued messages.
   void Flush();
 
  private:
+  // Messages that wait for a peer that reads too slowly.
   struct Backlog {
     std::deque<std::string> messages;
     std::size_t bytes = 0;
--- a/src/libs/wire/dialledlink.cpp
+++ b/src/libs/wire/dialledlink.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// A refused connection is not reported by ZeroMQ, so the first try is short. A link between regions
-// needs about 300 ms for the TCP, ZMTP and CURVE handshakes.
+// ZeroMQ does not report a refused connection, so the first attempt has a short time-out. It
+// doubles with each attempt, as the TCP, ZMTP and CURVE handshakes take about 300 ms between
+// regions.
 constexpr std::chrono::milliseconds kFirstConnectTimeout{250};
 constexpr std::uint32_t kMaxConnectDoublings = 3;
 constexpr std::chrono::milliseconds kHelloTimeout{600};
@@ -30,7 +31,7 @@
   m_socket = std::make_unique<zmq::socket_t>(context, zmq::socket_type::dealer);
   m_socket->set(zmq::sockopt::linger, 0);
   m_socket->set(zmq::sockopt::immediate,
-                true);  // Without it a message is delivered late, after its peer came back.
+                true);  // Otherwise messages are queued and delivered late, when the peer is back.
   m_socket->set(zmq::sockopt::reconnect_ivl, -1);
   m_socket->set(zmq::sockopt::sndhwm, kHighWaterMark);
   m_socket->set(zmq::sockopt::rcvhwm, kHighWaterMark);
@@ -76,7 +77,8 @@
                                                                          : Action::kNone;
   }
   if (!timings.replace_silent_links) return Action::kNone;
-  // Idle links too: a peer that restarted would otherwise miss what it is told for 5 s.
+  // Applies to idle links too. A restarted peer would otherwise miss messages until the idle ping,
+  // which is due only after 5 s.
   if (!HasConnection()) return Action::kReplace;
   if (m_unanswered_since) {
     const bool is_silent =
--- a/src/libs/wire/dialledlink.h
+++ b/src/libs/wire/dialledlink.h
@@ -16,29 +16,32 @@
 
 namespace damaskhollow {
 
-// One dialled link: a ZeroMQ DEALER socket and what is known of its health. A socket is never
-// reconnected; a link that breaks or goes silent gets a new socket with a new routing id, so that
-// answers on the old one cannot be taken for new ones.
+// One link that this node dialled: a ZeroMQ DEALER socket and the state of its health check.
+// Sockets do not reconnect. A link that breaks or stops responding gets a new socket with a new
+// routing id, so that replies on the old connection cannot be mistaken for replies on the new one.
+// Used on the thread of PeerTransport only.
 class DialledLink {
  public:
   enum class State { kConnecting, kAwaitingHelloReply, kUp };
 
-  // What a check of the link calls for.
+  // What the owner of the link has to do after a health check.
   enum class Action { kNone, kSendHello, kSendPing, kReplace };
 
   DialledLink(Endpoint endpoint, std::string public_key);
 
-  // Opens a new socket, closing the one before. `on_readable` is called when messages may wait.
+  // Opens a new socket and closes the previous one. Calls `on_readable` when messages may be
+  // available.
   void Connect(zmq::context_t& context, const std::string& routing_id, const LinkKeys& keys,
                TimePoint now, std::function<void()> on_readable);
 
-  // Hands one message to the network; false if no connection can take it.
+  // Sends one message. Returns false if there is no connection that accepts it.
   bool Send(const std::string& bytes, TimePoint now);
 
-  // The next waiting message.
+  // Returns the next received message, or nothing if there is none. Does not block.
   std::optional<zmq::message_t> Receive(TimePoint now);
 
-  // Decides what the link needs now. `is_busy` says whether calls wait for the peer.
+  // Checks the health of the link and returns the action that is due. `is_busy` tells whether calls
+  // are outstanding on the link; if so, a ping is due after a shorter silence.
   Action NextAction(bool is_busy, const LinkTimings& timings, TimePoint now) const;
 
   void RecordHelloSent(TimePoint now);
@@ -46,10 +49,10 @@
   void OnHelloReply();
 
   State CurrentState() const { return m_state; }
-  // Whether a Hello or Ping is unanswered.
+  // Whether a Hello or Ping has not been answered yet.
   bool IsAwaitingReply() const { return m_unanswered_since.has_value(); }
 
-  // Whether there is a connection that takes messages.
+  // Whether the socket has a connection that accepts messages.
   bool HasConnection() const;
 
   const Endpoint& RemoteEndpoint() const { return m_endpoint; }
@@ -64,7 +67,7 @@
   TimePoint m_connected_at{};
   TimePoint m_last_received{};
   std::optional<TimePoint> m_unanswered_since;  // When the unanswered Hello or Ping was sent.
-  std::uint32_t m_connect_attempts = 0;         // Connections tried since the link was last up.
+  std::uint32_t m_connect_attempts = 0;         // Connection attempts since the link was last up.
 };
 
 }  // namespace damaskhollow
--- a/src/libs/wire/peerauthenticator.cpp
+++ b/src/libs/wire/peerauthenticator.cpp
@@ -13,6 +13,7 @@
 constexpr std::size_t kZ85KeyLength = 40;
 constexpr std::size_t kCurveRequestFrames = 7;
 
+// Returns an empty string if `key` does not have the length of a CURVE key.
 std::string ToZ85(const zmq::message_t& key) {
   std::array<char, kZ85KeyLength + 1> text{};
   if (key.size() != kCurveKeyBytes) return {};
--- a/src/libs/wire/peerauthenticator.h
+++ b/src/libs/wire/peerauthenticator.h
@@ -7,22 +7,23 @@
 
 namespace damaskhollow {
 
-// Answers ZeroMQ's authentication requests (ZAP 1.0, RFC 27): a connection is let in if
-// `is_allowed` accepts its public key.
+// Handler for ZeroMQ's authentication requests (ZAP 1.0, RFC 27). Accepts a connection if
+// `is_allowed` accepts its CURVE public key.
 class PeerAuthenticator {
  public:
   using KeyCheck = std::function<bool(const std::string& public_key)>;
 
-  // Binds the socket that ZeroMQ asks; there can be one in each context.
+  // Binds the in-process socket for ZAP requests. A context can have only one such handler.
   PeerAuthenticator(zmq::context_t& context, KeyCheck is_allowed);
 
-  // The descriptor that becomes readable when a request may wait.
+  // The file descriptor that becomes readable when requests may be pending.
   int Descriptor() const;
 
-  // Answers the waiting requests.
+  // Answers all pending requests. Does not block.
   void AnswerRequests();
 
  private:
+  // Returns false if no request is pending.
   bool AnswerNextRequest();
 
   zmq::socket_t m_socket;
--- a/src/libs/wire/peertransport.cpp
+++ b/src/libs/wire/peertransport.cpp
@@ -20,12 +20,14 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval{25};
-// Links with calls or an unanswered ping are checked ten times a second. A lost connection is told
-// by its descriptor, so the others need a look only for pings that are due.
+// Links with outstanding calls or an unanswered ping are checked ten times a second. The descriptor
+// of a socket signals a lost connection, so that other links are only checked for due pings, once a
+// second.
 constexpr unsigned kTicksPerBusyCheck = 4;
 constexpr unsigned kTicksPerIdleCheck = 40;
 
-// Messages that do not belong to a call count against the measuring budget.
+// Whether the message does not belong to a call. Such messages count against the budget
+// measuring_bytes_per_second.
 bool IsControlMessage(const wire::Envelope& message) {
   switch (message.body_case()) {
     case wire::Envelope::kHello:
@@ -41,7 +43,7 @@
   }
 }
 
-// The server id in a routing id "ID#incarnation#number".
+// Extracts the server id from a routing id "ID#incarnation#number".
 BackendServerId PeerFromRoutingId(const std::string& routing_id) {
   return BackendServerId(routing_id.substr(0, routing_id.find('#')));
 }
@@ -88,7 +90,8 @@
   std::uint64_t m_next_link_number = 1;
   std::uint64_t m_next_ping = 1;
   unsigned m_tick_number = 0;
-  EventThread m_thread{"peers"};  // Last, so that it ends before the state that its tasks use.
+  EventThread m_thread{"peers"};  // Declared last, so that it ends before the members that its
+                                  // tasks use are destroyed.
 };
 
 Result<void> PeerTransport::Worker::Start() {
@@ -178,7 +181,8 @@
     m_handler.OnSendFailed(peer, std::move(message));
     return;
   }
-  // ZeroMQ signals its descriptor only on a change, which a send may have consumed.
+  // The descriptor of a ZeroMQ socket is edge-triggered, and sending may have consumed the edge for
+  // received messages.
   ReadLink(peer);
 }
 
@@ -192,7 +196,7 @@
 }
 
 void PeerTransport::Worker::ReadLink(const BackendServerId& peer) {
-  // Handling a message may close or replace the link, so it is looked up again for each message.
+  // Handling a message may close or replace the link, so it is looked up for each message.
   for (;;) {
     const auto found = m_links.find(peer);
     if (found == m_links.end()) return;
--- a/src/libs/wire/peertransport.h
+++ b/src/libs/wire/peertransport.h
@@ -14,14 +14,14 @@
 
 namespace damaskhollow {
 
-// Where to send what belongs to a received message. Valid as long as the sender's link lives.
+// Where to send replies to a received message. Valid until the link of the sender is closed.
 struct ReplyRoute {
   BackendServerId peer;
-  std::string routing_id;  // Empty when the peer is this node.
+  std::string routing_id;  // Empty if the message came on a dialled link or from this node.
 };
 
-// The keys of a node for ZeroMQ CURVE, in Z85. Empty keys: links are neither encrypted nor
-// authenticated.
+// The ZeroMQ CURVE key pair of a node, Z85-encoded. If the keys are empty, links are neither
+// encrypted nor authenticated.
 struct LinkKeys {
   std::string public_key;
   std::string secret_key;
@@ -29,44 +29,47 @@
   bool IsSet() const { return !secret_key.empty(); }
 };
 
-// Gets what happens on the links. Members are called on the transport's thread.
+// Receives the events of a PeerTransport and answers its queries. All functions are called on the
+// thread of the transport.
 class PeerHandler {
  public:
   virtual ~PeerHandler() = default;
 
-  // The link to `peer` answered and can be used.
+  // The link to `peer` completed its handshake and can be used.
   virtual void OnLinkUp(const BackendServerId& peer, const wire::OwnerState& state) = 0;
 
-  // The link to `peer` went silent and is replaced. Messages sent on it may or may not have
-  // arrived.
+  // The link to `peer`, which was up, was replaced because it broke or stopped responding, or was
+  // closed. Messages sent on it may or may not have arrived.
   virtual void OnLinkDown(const BackendServerId& peer) = 0;
 
+  // Any message except those that the transport handles itself to keep its links up.
   virtual void OnMessage(const ReplyRoute& route, wire::Envelope message) = 0;
 
-  // The message was not handed to the network, so the peer will never see it.
+  // `message` was not passed to the network, so that `peer` never receives it.
   virtual void OnSendFailed(const BackendServerId& peer, wire::Envelope message) = 0;
 
-  // Whether calls wait for something from `peer`; only then is a quiet link checked within a
-  // second.
+  // Whether calls wait for messages from `peer`. Only then is a link that stopped responding
+  // detected within a second.
   virtual bool HasOutstandingCalls(const BackendServerId& peer) const = 0;
 
-  // What this node says of itself in Hello replies and Pongs.
+  // The state that this node reports in Hello replies and Pongs.
   virtual wire::OwnerState LocalOwnerState() const = 0;
 
-  // Whether a node with this id, and with this public key if links are encrypted, may connect.
+  // Whether a node with this id, and with this public key if links are encrypted, may connect. An
+  // empty `peer` stands for any node, for checks of the key before the id of the node is known.
   virtual bool IsAllowedPeer(const BackendServerId& peer, const std::string& public_key) const = 0;
 
-  // Counts bytes of messages that do not belong to a call.
+  // Bytes of control messages, which are those that do not belong to a call, were sent or received.
   virtual void OnControlBytes(const BackendServerId& peer, std::size_t sent,
                               std::size_t received) = 0;
 };
 
-// How quickly silent links are noticed.
+// Intervals of the link health checks.
 struct LinkTimings {
   std::uint32_t connect_retry_ms = 25;
-  std::uint32_t busy_ping_delay_ms = 200;   // Nothing received with calls outstanding: ping.
-  std::uint32_t idle_ping_delay_ms = 5000;  // Nothing received on an idle link: ping.
-  std::uint32_t pong_timeout_ms = 400;      // No message after a ping: silent.
+  std::uint32_t busy_ping_delay_ms = 200;   // Silence until a ping if calls are outstanding.
+  std::uint32_t idle_ping_delay_ms = 5000;  // Silence until a ping on an idle link.
+  std::uint32_t pong_timeout_ms = 400;      // Silence after a ping until the link counts as broken.
   bool replace_silent_links = true;
 };
 
@@ -78,8 +81,9 @@
   LinkTimings timings;
 };
 
-// All ZeroMQ links of a node, on one thread. The node dials one link to each peer that it sends
-// calls or gossip to and accepts links from others. Commands may be called from any thread.
+// Owns all ZeroMQ links of a node and runs them on one thread. The node dials one link to each peer
+// that it sends calls or gossip to, and accepts links from other nodes. The member functions may be
+// called from any thread.
 class PeerTransport {
  public:
   PeerTransport(TransportOptions options, PeerHandler& handler);
@@ -90,19 +94,22 @@
   // Binds the listening socket. Fails with kSocket.
   Result<void> Start();
 
-  // Closes all links and ends the thread. What has not been sent is dropped.
+  // Closes all links and ends the thread. Messages that have not been sent yet are dropped.
   void Stop();
 
-  // Dials `peer` unless there is a link already; a link to another endpoint or key is replaced.
+  // Dials `peer` unless there is a link to it already. Replaces a link that has another endpoint or
+  // key.
   void OpenLink(const BackendServerId& peer, const Endpoint& endpoint,
                 const std::string& public_key);
 
   void CloseLink(const BackendServerId& peer);
 
-  // Sends on the dialled link to `peer`.
+  // Sends on the dialled link to `peer`. Calls PeerHandler::OnSendFailed if the link is not up or
+  // does not accept the message.
   void Send(const BackendServerId& peer, wire::Envelope message);
 
-  // Sends back on the link that a message came from. Dropped if that link is gone.
+  // Sends a reply on the accepted link that a message came from. The reply is dropped if that link
+  // is closed.
   void Reply(const ReplyRoute& route, wire::Envelope message);
 
  private:
@@ -110,10 +117,10 @@
   std::unique_ptr<Worker> m_worker;
 };
 
-// A new key pair for CURVE. Fails with kInvalidKey if ZeroMQ was built without CURVE.
+// Generates a new CURVE key pair. Fails with kInvalidKey if ZeroMQ was built without CURVE.
 Result<LinkKeys> GenerateLinkKeys();
 
-// The key pair that belongs to a secret key. Fails with kInvalidKey.
+// Derives the public key from a Z85-encoded secret key. Fails with kInvalidKey.
 Result<LinkKeys> LinkKeysFromSecret(const std::string& secret_key);
 
 }  // namespace damaskhollow
