--- a/src/libs/base/endpoint.cpp
+++ b/src/libs/base/endpoint.cpp
@@ -12,7 +12,7 @@
   };
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) {
-    return failure("\"" + std::string(text) + "\" is not IP:PORT");
+    return failure("\"" + std::string(text) + "\" is not of the form IP:PORT");
   }
   std::string_view address = text.substr(0, colon);
   if (address.starts_with('[') && address.ends_with(']')) {
@@ -27,7 +27,7 @@
   }
   boost::system::error_code address_error;
   boost::asio::ip::make_address(address, address_error);
-  if (address_error) return failure("\"" + std::string(address) + "\" is not an IP number");
+  if (address_error) return failure("\"" + std::string(address) + "\" is not an IP address");
   return Endpoint{std::string(address), port};
 }
 
--- a/src/libs/base/endpoint.h
+++ b/src/libs/base/endpoint.h
@@ -18,11 +18,11 @@
   auto operator<=>(const Endpoint&) const = default;
 };
 
-// Parses "127.0.0.1:8080" or "[::1]:8080". Host names are refused, as nodes talk by IP numbers.
-// Fails with kInvalidAddress.
+// Parses "127.0.0.1:8080" or "[::1]:8080". Host names are rejected, as nodes connect to IP
+// addresses only. Fails with kInvalidAddress.
 Result<Endpoint> ParseEndpoint(std::string_view text);
 
-// The form that ParseEndpoint reads.
+// Formats an endpoint in the form that ParseEndpoint accepts.
 std::string ToString(const Endpoint& endpoint);
 
 }  // namespace damaskhollow
--- a/src/libs/base/ids.h
+++ b/src/libs/base/ids.h
@@ -10,8 +10,8 @@
 
 namespace damaskhollow {
 
-// A string identifier from the declaration that cannot be mixed up with identifiers of another
-// kind.
+// A string identifier from the declaration. `Tag` makes identifiers of different kinds distinct
+// types, so that the compiler rejects mixing them.
 template <class Tag>
 class NamedId {
  public:
@@ -28,7 +28,8 @@
   std::string m_value;
 };
 
-// A number that identifies an object inside one process.
+// A number that identifies an object within one process. `Tag` makes identifiers of different kinds
+// distinct types.
 template <class Tag>
 struct NumberedId {
   std::uint64_t value = 0;
@@ -41,14 +42,15 @@
 using ServiceId = NamedId<struct ServiceTag>;
 using RouteId = NamedId<struct RouteTag>;
 using PriorityId = NamedId<struct PriorityTag>;
-// Names a backend server and, as each backend server has exactly one node, also that node.
+// Identifies a backend server and, as each backend server has exactly one node, also that node.
 using BackendServerId = NamedId<struct BackendServerTag>;
 
-// Names a call within the incarnation of the ingress that accepted it.
+// Identifies a call within the incarnation of the ingress that accepted it.
 using CallId = NumberedId<struct CallTag>;
 using ConnectionId = NumberedId<struct ConnectionTag>;
 
-// Drawn at random when a process starts; tells a restarted process from its predecessor.
+// A random number generated when a process starts. Distinguishes a restarted process from its
+// previous incarnation.
 using Incarnation = NumberedId<struct IncarnationTag>;
 
 }  // namespace damaskhollow
--- a/src/libs/base/randomsource.cpp
+++ b/src/libs/base/randomsource.cpp
@@ -4,6 +4,7 @@
 
 namespace {
 
+// Continues an FNV-1a hash with further bytes.
 std::uint64_t HashBytes(std::uint64_t hash, std::string_view bytes) {
   constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
   for (const char byte : bytes) {
@@ -13,7 +14,7 @@
   return hash;
 }
 
-// The finalizer of SplitMix64. FNV-1a alone leaves similar names with similar high bits.
+// The finalizer of SplitMix64. It is needed because FNV-1a gives similar names similar high bits.
 std::uint64_t Mix(std::uint64_t hash) {
   hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ULL;
   hash = (hash ^ (hash >> 27)) * 0x94d049bb133111ebULL;
--- a/src/libs/base/reason.h
+++ b/src/libs/base/reason.h
@@ -7,17 +7,17 @@
 
 namespace damaskhollow {
 
-// What a caller can rely on after a call.
+// What a caller can conclude about the execution of its request.
 enum class Outcome {
-  kAnswered,  // The backend server's own answer.
-  kNotRun,    // Proved not to have run; safe to send again.
-  kUnknown,   // Sent, and there is no proof whether it ran.
+  kAnswered,  // The answer comes from the backend server.
+  kNotRun,    // The request provably did not run and can be sent again.
+  kUnknown,   // The request was sent, and may or may not have run.
 };
 
-// The value of the Damaskhollow-Outcome header.
+// Returns the value of the Damaskhollow-Outcome header.
 std::string_view OutcomeName(Outcome outcome);
 
-// Why a call was refused, failed or tried again.
+// Why a call was refused, failed or retried. Nodes send the numeric values to each other.
 enum class Reason {
   kNone,
   // Refused by the ingress before routing.
@@ -53,7 +53,7 @@
   kBackendShed,
   kCrashingRequest,
   kCancelled,
-  // Request ids.
+  // Handling of request ids.
   kHomeRestarted,
   kHomeUnreachable,
   kHomeReleased,
@@ -72,24 +72,24 @@
   kCount,
 };
 
-// One row of the table that metrics, answer headers and `damaskhollow explain` share.
+// Properties of a reason, shared by metrics, answer headers and `damaskhollow explain`.
 struct ReasonInfo {
   Reason reason;
   std::string_view name;         // Header value and metric label.
-  Outcome outcome;               // What the caller may conclude.
-  int http_status;               // Status of the answer to the caller.
-  bool try_another_server;       // Whether routing may pick another backend server.
+  Outcome outcome;               // What the caller can conclude.
+  int http_status;               // HTTP status of the answer to the caller.
+  bool try_another_server;       // Whether the call may be retried on another server.
   std::string_view explanation;  // What happened.
-  std::string_view action;       // What an operator can do.
+  std::string_view action;       // What an operator can do about it.
 };
 
-// All rows, in the order of the enumeration.
+// Returns the properties of all reasons, in the order of the enumeration.
 std::span<const ReasonInfo> ReasonTable();
 
-// The row of a reason.
+// Returns the properties of a reason.
 const ReasonInfo& InfoOf(Reason reason);
 
-// Finds a reason by its name; empty when there is none.
+// Finds a reason by its name. Returns nothing if there is no such reason.
 std::optional<Reason> ReasonFromName(std::string_view name);
 
 }  // namespace damaskhollow
--- a/src/libs/base/result.h
+++ b/src/libs/base/result.h
@@ -7,7 +7,7 @@
 
 namespace damaskhollow {
 
-// Kinds of failure of files, settings and library calls. Refusals of calls use Reason instead.
+// Error codes for files, settings and library calls. Refused calls are described by Reason instead.
 enum class FailureCode {
   kFileUnreadable,
   kFileNotCreated,
@@ -28,20 +28,22 @@
   kUnavailable,
 };
 
-// The machine-readable name of a failure code, for instance "unknown_field".
+// Returns the machine-readable name of a failure code, for instance "unknown_field".
 std::string_view FailureName(FailureCode code);
 
-// A typed failure. `subject` names what failed: a file, a field path, a flag or an address.
-// `detail` is a sentence for a person.
+// A typed error. `subject` is the file, field path, flag or address that it concerns. `detail` is a
+// human-readable description.
 struct Failure {
   FailureCode code;
   std::string subject;
   std::string detail;
 };
 
-// One line for logs and terminals: "unknown_field: services[0].slotz: not a field of a service".
+// Formats a failure as one line for logs and terminals, for instance
+// "unknown_field: services[0].slotz: is not a known field".
 std::string Describe(const Failure& failure);
 
+// Either a value or a Failure. Accessing the value of a failed result is undefined behaviour.
 template <class T>
 using Result = BOOST_OUTCOME_V2_NAMESPACE::unchecked<T, Failure>;
 
--- a/src/libs/base/time.h
+++ b/src/libs/base/time.h
@@ -8,21 +8,20 @@
 
 using Duration = std::chrono::microseconds;
 
-// A reading of the process's monotonic clock. Decisions in `policy`, `fleet` and `configuration`
-// get it handed in.
+// A reading of the monotonic clock of the process. Code in `policy`, `fleet` and `configuration`
+// receives the current time as a parameter.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// Milliseconds since the Unix epoch by the wall clock; used only where request ids are compared
-// with restarts.
+// Wall-clock time in milliseconds since the Unix epoch. Used only to compare the creation times of
+// request ids with the times at which processes started or were absent.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
-// Reads the monotonic clock.
 TimePoint MonotonicNow();
 
-// Reads the wall clock.
 WallTime WallNow();
 
-// Microseconds on the monotonic clock, the form in which an owner reports its clock to its peers.
+// Converts to microseconds on the monotonic clock, the form in which an owner reports its clock to
+// its peers.
 std::uint64_t ToClockMicroseconds(TimePoint time);
 
 }  // namespace damaskhollow
--- a/src/libs/runtime/eventthread.h
+++ b/src/libs/runtime/eventthread.h
@@ -8,27 +8,28 @@
 
 namespace damaskhollow {
 
-// A thread with a Qt event loop. Tasks run on it one after the other, in the order in which they
-// were posted.
+// A thread with a Qt event loop. Runs tasks one at a time, in the order in which they were posted.
 class EventThread {
  public:
+  // Starts the thread. `name` is the name of the thread.
   explicit EventThread(const std::string& name);
   ~EventThread();
   EventThread(const EventThread&) = delete;
   EventThread& operator=(const EventThread&) = delete;
 
-  // Runs `task` on the thread later. May be called from any thread.
+  // Queues `task` to run on the thread and returns immediately. May be called from any thread.
   void Post(std::function<void()> task);
 
-  // Runs `task` on the thread and waits for it. Must not be called from the thread itself.
+  // Runs `task` on the thread and waits until it has finished. Must not be called from this thread,
+  // which would deadlock.
   void RunAndWait(std::function<void()> task);
 
-  // Ends the event loop after the tasks posted so far and waits for the thread.
+  // Ends the event loop once the tasks posted so far have run, and waits for the thread to finish.
   void Stop();
 
  private:
   QThread m_thread;
-  QObject* m_context;
+  QObject* m_context;  // Lives on the thread, so that tasks invoked on it run there.
 };
 
 }  // namespace damaskhollow
