--- a/src/libs/declaration/declaration.h
+++ b/src/libs/declaration/declaration.h
@@ -18,33 +18,33 @@
   std::vector<DataCentreId> data_centres;
 };
 
-// A class of work. Rank 0 is the most urgent.
+// A priority class of calls. Rank 0 is the most urgent.
 struct Priority {
   PriorityId id;
   std::size_t rank = 0;
-  Duration target{};               // Aimed-at answer time.
-  Duration queue_bound{};          // Longest expected wait that the owner still queues for.
-  double guaranteed_share = 0.0;   // Part of slot time kept for this priority, 0 to 1.
+  Duration target{};               // Target response time.
+  Duration queue_bound{};          // Calls with a longer expected queueing time are refused.
+  double guaranteed_share = 0.0;   // Share of slot time reserved for this priority, 0 to 1.
   bool may_cross_regions = false;  // Whether its calls may use the paid link.
-  // Priorities of one group are equally urgent to the operator; among them, calls that can still
-  // be answered in time go first. Follows the rank.
+  // Priorities of the same group are equally urgent to the operator. Among them, calls that can
+  // still meet their target are dispatched first. Must not decrease with increasing rank.
   std::size_t group = 0;
 };
 
-// Classifies requests of a service.
+// Assigns a priority and other properties to requests of a service, by method and path.
 struct Rule {
   std::vector<std::string> methods;  // Empty: all methods.
   std::string path_prefix;
   PriorityId priority;
   bool idempotent = false;
-  std::optional<Duration> deadline;
+  std::optional<Duration> deadline;  // Replaces the default deadline of the service.
 };
 
-// How an owner asks its own backend server for its state.
+// How an owner probes the state of its own backend server.
 struct HealthCheck {
   std::string path;
   Duration interval{};
-  int drain_status = 503;  // Status by which the backend server says that it is leaving.
+  int drain_status = 503;  // Status with which the backend server reports that it is draining.
 };
 
 struct Service {
@@ -53,70 +53,72 @@
   Duration default_deadline{};
   std::size_t max_body_bytes = 0;
   std::optional<int>
-      shed_status;  // Status by which a backend server says that it did not run the request.
-  std::size_t subset_size = 0;  // Servers that one ingress uses; 0: chosen by size of the fleet.
+      shed_status;  // Status with which a backend server reports that it did not run a request.
+  std::size_t subset_size = 0;  // Servers that one ingress uses; 0: derived from the fleet size.
   std::optional<HealthCheck> health;
   std::vector<Rule> rules;
 };
 
-// A part of a route's requests and the service that runs them.
+// A service that receives part of the requests of a route.
 struct RoutePart {
   ServiceId service;
-  double weight = 1.0;  // Share of the requests, relative to the other parts.
+  double weight = 1.0;  // Share of the requests, relative to the weights of the other parts.
 };
 
-// Classifies requests by host and path. A declaration with routes uses them in place of the
-// services' rules.
+// Assigns a priority, services and other properties to requests by host and path. If a declaration
+// has routes, they are used instead of the rules of its services.
 struct Route {
   RouteId id;
   std::string host;
   std::string path_prefix;
   PriorityId priority;
   bool idempotent = false;
-  Duration timeout{};            // Longest time that a caller is kept waiting.
-  std::size_t attempts = 1;      // Backend servers that one call may reach.
+  Duration timeout{};            // Maximum time until the caller receives an answer.
+  std::size_t attempts = 1;      // Maximum number of backend servers that a call may reach.
   std::vector<RoutePart> parts;  // At least one.
 };
 
-// What callers may send, and how long they may take. Zero: the node's default.
+// Size limits and time-outs for caller connections. Zero means the default of the node.
 struct CallerBounds {
   std::size_t header_bytes = 0;
   std::size_t body_bytes = 0;
-  Duration header_timeout{};  // From the first byte of a request's head to its end.
-  Duration idle_timeout{};    // Without a request.
+  Duration header_timeout{};  // From the first to the last byte of a request head.
+  Duration idle_timeout{};    // Of a connection without a request.
 };
 
-// One entry of the inventory.
+// A backend server in the inventory.
 struct BackendServer {
   BackendServerId id;
   ServiceId service;
   std::string address;       // IP:PORT of the backend server.
-  std::string peer_address;  // IP:PORT of its node for other nodes.
+  std::string peer_address;  // IP:PORT on which its node accepts other nodes.
   RegionId region;
   DataCentreId data_centre;
-  std::size_t slots = 0;        // Requests that run at the same time.
-  std::size_t connections = 0;  // Connections that the server accepts.
-  std::string peer_public_key;  // CURVE key in Z85; empty when links are not encrypted.
-  std::string instance;  // Incarnation of the backend server; empty if the inventory has none.
-  bool warming = false;  // Started so recently that it is slow.
+  std::size_t slots = 0;        // Maximum number of concurrent requests.
+  std::size_t connections = 0;  // Maximum number of connections that the server accepts.
+  std::string peer_public_key;  // CURVE public key in Z85; empty if links are not encrypted.
+  std::string instance;         // Incarnation of the server; empty if the inventory has none.
+  bool warming = false;         // Whether it started so recently that it is still slow.
 };
 
+// Limits of the traffic and load that nodes cause.
 struct Budgets {
-  std::size_t measuring_bytes_per_second = 0;  // Control traffic of one node.
-  double probes_per_second = 0.0;              // Probes by one node.
-  std::size_t paid_link_bytes_per_second = 0;  // All traffic of one region to other regions.
-  double retry_share = 0.0;                    // Retries as part of first attempts.
-  double hedge_share = 0.0;                    // Part of the retry budget that hedges may use.
-  // Retries of one service by one node that need no first attempts, saved up at most.
+  std::size_t measuring_bytes_per_second = 0;  // Control traffic per node.
+  double probes_per_second = 0.0;              // Probes per node.
+  std::size_t paid_link_bytes_per_second = 0;  // Total traffic from one region to others.
+  double retry_share = 0.0;                    // Ratio of retries to first attempts.
+  double hedge_share = 0.0;                    // Part of the retry budget usable for hedges.
+  // Maximum number of retries per service for which a node accumulates budget without any first
+  // attempts.
   double retry_floor = 10.0;
-  // As retry_floor, for all nodes together; each takes an equal part. Replaces retry_floor.
+  // Replaces retry_floor by a total for all nodes, of which each node gets an equal part.
   std::optional<double> fleet_retry_floor;
-  // Whether a call that an owner refused before anything reached its server is sent to another
-  // without using the budget.
+  // Whether a call that its owner refused before anything reached the backend server is retried on
+  // another server without using up the retry budget.
   bool refusals_are_free = false;
 };
 
-// The operators' declaration: inventory and rules.
+// The configuration written by operators: inventory of backend servers, and rules for requests.
 struct Declaration {
   std::vector<Region> regions;
   std::vector<Priority> priorities;  // Ordered by rank.
@@ -126,20 +128,23 @@
   Budgets budgets;
   CallerBounds caller_bounds;
 
-  // Look-ups return null when there is no such entry; pointers live as long as the declaration.
+  // Look-up functions. They return null if there is no such entry. The pointers are valid as long
+  // as the declaration is neither changed nor destroyed.
   const Service* FindService(const ServiceId& id) const;
+  // `host` may include a port, which is ignored unless the service declares it.
   const Service* FindServiceByHost(std::string_view host) const;
   const Priority* FindPriority(const PriorityId& id) const;
   const BackendServer* FindServer(const BackendServerId& id) const;
 
-  // The rule with the longest matching path prefix, or null. The first of equally long ones wins.
+  // Returns the rule with the longest matching path prefix, or null. Of prefixes of the same
+  // length, the first one wins.
   static const Rule* FindRule(const Service& service, std::string_view method,
                               std::string_view path);
 
-  // The route of this host with the longest prefix that begins the path, or null.
+  // Returns the route of this host with the longest matching path prefix, or null.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
 
-  // The inventory of one service in declared order.
+  // Returns the backend servers of a service, in the order of the declaration.
   std::vector<const BackendServer*> ServersOf(const ServiceId& service) const;
 };
 
--- a/src/libs/declaration/declarationdiff.cpp
+++ b/src/libs/declaration/declarationdiff.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// One compared field: its name in the file, its value as text and what a change of it does.
+// A compared field of an entry: its name in the file, a function that formats its value, and the
+// effect of a change.
 template <class Entry>
 struct Field {
   std::string_view name;
@@ -18,7 +19,7 @@
   std::string_view effect;
 };
 
-// How entries of one kind are named and compared.
+// How entries of one type are named and compared.
 template <class Entry>
 struct EntryKind {
   std::string_view noun;
@@ -33,7 +34,7 @@
 std::string TextOf(int value) { return std::to_string(value); }
 std::string TextOf(Duration value) { return std::to_string(value.count() / 1000); }
 
-// The shortest text that reads back as the same number, so that no change is rounded away.
+// Uses the shortest text that parses back to the same number, so that rounding hides no change.
 std::string TextOf(double value) {
   std::array<char, 32> text{};
   const auto [end, error] = std::to_chars(text.begin(), text.end(), value);
@@ -41,7 +42,7 @@
 }
 
 std::string TextOf(const HealthCheck& health) {
-  return health.path + " each " + TextOf(health.interval) + " ms, draining at " +
+  return health.path + " every " + TextOf(health.interval) + " ms, draining at status " +
          TextOf(health.drain_status);
 }
 
@@ -73,79 +74,82 @@
 }
 
 constexpr std::array kRegionFields{MemberField<&Region::data_centres, Region>(
-    "data_centres", "servers of a removed data centre must be declared elsewhere")};
+    "data_centres", "servers of a removed data centre must be moved to another one")};
 
 constexpr std::array kPriorityFields{
-    MemberField<&Priority::rank, Priority>("rank", "the order of dispatch changes"),
-    MemberField<&Priority::target, Priority>("target_ms", "the aimed-at answer time changes"),
+    MemberField<&Priority::rank, Priority>("rank", "the dispatch order of calls changes"),
+    MemberField<&Priority::target, Priority>("target_ms", "the target response time changes"),
     MemberField<&Priority::queue_bound, Priority>(
-        "queue_bound_ms", "owners refuse this priority at another expected wait"),
+        "queue_bound_ms", "owners refuse calls of this priority above this expected queueing time"),
     MemberField<&Priority::guaranteed_share, Priority>(
-        "guaranteed_share", "owners keep another part of slot time for this priority"),
+        "guaranteed_share", "owners reserve this share of slot time for the priority"),
     MemberField<&Priority::may_cross_regions, Priority>(
-        "may_cross_regions", "calls of this priority may or may not use the paid link"),
+        "may_cross_regions", "decides whether calls of this priority may use the paid link"),
 };
 
 constexpr std::array kServiceFields{
-    MemberField<&Service::hosts, Service>("hosts", "other Host headers lead to this service"),
+    MemberField<&Service::hosts, Service>("hosts",
+                                          "the Host headers that select this service change"),
     MemberField<&Service::default_deadline, Service>("default_deadline_ms",
-                                                     "calls without a deadline get this one"),
+                                                     "calls without a deadline get the new one"),
     MemberField<&Service::max_body_bytes, Service>("max_body_bytes",
-                                                   "request bodies above it are refused"),
+                                                   "larger request bodies are refused"),
     MemberField<&Service::shed_status, Service>(
-        "shed_status", "answers with this status count as not run and lower the limit"),
-    MemberField<&Service::subset_size, Service>("subset_size",
-                                                "nodes open or close links to its servers"),
-    MemberField<&Service::health, Service>("health", "owners ask their server in another way"),
+        "shed_status", "answers with this status count as not run and lower the concurrency limit"),
+    MemberField<&Service::subset_size, Service>(
+        "subset_size", "nodes open or close links to the servers of the service"),
+    MemberField<&Service::health, Service>(
+        "health", "owners probe their backend servers with these parameters"),
 };
 
 constexpr std::array kRuleFields{
-    MemberField<&Rule::priority, Rule>("priority", "matching requests change their priority"),
+    MemberField<&Rule::priority, Rule>("priority", "the priority of matching requests changes"),
     MemberField<&Rule::idempotent, Rule>(
-        "idempotent", "if false, matching requests are never sent again after they may have run"),
-    MemberField<&Rule::deadline, Rule>("deadline_ms", "matching requests get another deadline"),
+        "idempotent", "if false, matching requests are not retried once they may have run"),
+    MemberField<&Rule::deadline, Rule>("deadline_ms", "the deadline of matching requests changes"),
 };
 
 constexpr std::array kServerFields{
-    MemberField<&BackendServer::service, BackendServer>("service",
-                                                        "the server leaves its old service"),
+    MemberField<&BackendServer::service, BackendServer>(
+        "service", "the server moves from its old service to the new one"),
     MemberField<&BackendServer::address, BackendServer>(
         "address", "its node connects to the server at the new address"),
     MemberField<&BackendServer::peer_address, BackendServer>(
-        "peer_address", "other nodes reach its node at the new address"),
-    MemberField<&BackendServer::region, BackendServer>("region", "routing sees it elsewhere"),
+        "peer_address", "other nodes connect to its node at the new address"),
+    MemberField<&BackendServer::region, BackendServer>("region", "routing uses the new location"),
     MemberField<&BackendServer::data_centre, BackendServer>("data_centre",
-                                                            "routing sees it elsewhere"),
+                                                            "routing uses the new location"),
     MemberField<&BackendServer::slots, BackendServer>("slots",
-                                                      "its node runs at most so many calls"),
+                                                      "limits the concurrent calls of its node"),
     MemberField<&BackendServer::connections, BackendServer>(
-        "connections", "its node opens at most so many connections"),
+        "connections", "limits the connections that its node opens"),
     MemberField<&BackendServer::peer_public_key, BackendServer>(
-        "peer_public_key", "other nodes accept its node only with this key"),
+        "peer_public_key", "other nodes accept its node only with the new key"),
 };
 
 constexpr std::array kBudgetFields{
     MemberField<&Budgets::measuring_bytes_per_second, Budgets>(
-        "measuring_bytes_per_second", "bound of the control traffic of each node"),
+        "measuring_bytes_per_second", "limits the control traffic of each node"),
     MemberField<&Budgets::probes_per_second, Budgets>("probes_per_second",
-                                                      "bound of the probes of each node"),
+                                                      "limits the probes of each node"),
     MemberField<&Budgets::paid_link_bytes_per_second, Budgets>(
-        "paid_link_bytes_per_second", "bound of the traffic to other regions"),
-    MemberField<&Budgets::retry_share, Budgets>("retry_share", "bound of retries"),
-    MemberField<&Budgets::hedge_share, Budgets>("hedge_share", "bound of hedges"),
+        "paid_link_bytes_per_second", "limits the traffic to other regions"),
+    MemberField<&Budgets::retry_share, Budgets>("retry_share", "limits retries"),
+    MemberField<&Budgets::hedge_share, Budgets>("hedge_share", "limits hedges"),
 };
 
 constexpr EntryKind<Region> kRegionKind{"region", kRegionFields, "servers can be declared in it",
-                                        "no server can be declared in it"};
-constexpr EntryKind<Priority> kPriorityKind{"priority", kPriorityFields, "rules can name it",
-                                            "no rule can name it"};
+                                        "servers can no longer be declared in it"};
+constexpr EntryKind<Priority> kPriorityKind{"priority", kPriorityFields, "rules can refer to it",
+                                            "rules can no longer refer to it"};
 constexpr EntryKind<Service> kServiceKind{"service", kServiceFields, "calls for it are accepted",
                                           "calls for it are refused with unknown_service"};
-constexpr EntryKind<Rule> kRuleKind{"rule", kRuleFields, "matching requests are classified by it",
-                                    "matching requests fall to a shorter prefix or to no_rule"};
-constexpr EntryKind<BackendServer> kServerKind{"backend server", kServerFields,
-                                               "it gets work by slow start once its node answers",
-                                               "it gets no new work; calls in flight finish"};
+constexpr EntryKind<Rule> kRuleKind{
+    "rule", kRuleFields, "it classifies matching requests",
+    "matching requests use a rule with a shorter prefix or are refused with no_rule"};
+constexpr EntryKind<BackendServer> kServerKind{
+    "backend server", kServerFields, "it receives calls, with a slow start, once its node responds",
+    "it receives no new calls; calls in flight complete"};
 constexpr EntryKind<Budgets> kBudgetKind{"budgets", kBudgetFields, "", ""};
 
 template <class Entry>
@@ -180,7 +184,8 @@
   return text;
 }
 
-// The first of several entries with the same key counts, as it does in Declaration::FindRule.
+// Maps entries by key. Of several entries with the same key the first is used, as in
+// Declaration::FindRule.
 template <class Entry>
 std::map<std::string, const Entry*> ByKey(const std::vector<Entry>& entries) {
   std::map<std::string, const Entry*> found;
@@ -214,7 +219,8 @@
   }
 }
 
-// The rules of each prefix that are in both lists, in their order.
+// Lists, for each path prefix, the rules of `service` that `other` has too, in the order of
+// `service`.
 std::map<std::string, std::string> RuleOrder(const Service& service, const Service& other) {
   const std::map<std::string, const Rule*> other_rules = ByKey(other.rules);
   std::map<std::string, std::string> order;
@@ -272,7 +278,7 @@
     if (found == old_order.end() || found->second == order) continue;
     m_changes.push_back(DeclarationChange{ChangeKind::kChanged, rules_of + prefix, "order",
                                           found->second, order,
-                                          "the first that matches a request counts"});
+                                          "the first rule that matches a request is used"});
   }
 }
 
--- a/src/libs/declaration/declarationdiff.h
+++ b/src/libs/declaration/declarationdiff.h
@@ -11,29 +11,31 @@
 
 enum class ChangeKind { kAdded, kRemoved, kChanged };
 
-// The machine-readable name of a kind: added, removed or changed.
+// Returns the machine-readable name of a kind: added, removed or changed.
 std::string_view ChangeKindName(ChangeKind kind);
 
 // One difference between two declarations.
 struct DeclarationChange {
   ChangeKind kind;
   std::string subject;  // The entry, for instance "backend server portail-1".
-  std::string field;    // The field as named in the file; empty if the whole entry came or went.
+  std::string field;    // Name of the field in the file; empty for an added or removed entry.
   std::string before;   // Old value; empty for an added entry.
   std::string after;    // New value; empty for a removed entry.
-  std::string effect;   // What a running fleet does because of it.
+  std::string effect;   // How the change affects a running fleet.
 };
 
-// One line for a person: "backend server portail-1: slots changes from 9 to 12; ...".
+// Formats a change as one human-readable line: "backend server portail-1: slots changes from 9 to
+// 12; ...".
 std::string Describe(const DeclarationChange& change);
 
-// Finds what differs between two valid declarations. Entries are matched by id and rules by methods
-// and path prefix, so that moving an entry in the file is not a change.
+// Computes the differences between two valid declarations. Entries are matched by id and rules by
+// methods and path prefix, so that moving an entry within the file is not a change.
 class DeclarationDiff {
  public:
   DeclarationDiff(const Declaration& before, const Declaration& after);
 
-  // Regions first, then priorities, services with their rules, backend servers and budgets.
+  // The differences in the order regions, priorities, services with their rules, backend servers
+  // and budgets.
   const std::vector<DeclarationChange>& Changes() const { return m_changes; }
 
  private:
--- a/src/libs/declaration/declarationparser.cpp
+++ b/src/libs/declaration/declarationparser.cpp
@@ -19,6 +19,7 @@
 constexpr std::size_t kMaxRouteAttempts = 100;
 constexpr std::size_t kMaxBytesPerSecond = 10UL * 1000UL * 1000UL * 1000UL;
 constexpr std::size_t kMaxServers = 100000;
+// Allows for rounding errors in the sum of the guaranteed shares.
 constexpr double kShareTolerance = 1e-9;
 
 template <class Entry>
@@ -27,7 +28,7 @@
   for (const Entry& entry : entries) {
     if (seen.insert(entry.id.Value()).second) continue;
     root.AddFailure(FailureCode::kDuplicateId, field,
-                    "\"" + entry.id.Value() + "\" is declared twice");
+                    "\"" + entry.id.Value() + "\" is declared more than once");
   }
 }
 
@@ -111,7 +112,7 @@
   if (address.empty()) return;
   const Result<Endpoint> endpoint = ParseEndpoint(address);
   if (endpoint && endpoint.value().port > 0) return;
-  reader.AddFailure(FailureCode::kInvalidAddress, field, "must be IP:PORT");
+  reader.AddFailure(FailureCode::kInvalidAddress, field, "must be of the form IP:PORT");
 }
 
 BackendServer ReadServer(JsonReader& reader) {
@@ -133,7 +134,7 @@
                       "must be a Z85 key of 40 characters");
   }
   if (server.connections < server.slots) {
-    reader.AddFailure(FailureCode::kOutOfRange, "connections", "must not be fewer than slots");
+    reader.AddFailure(FailureCode::kOutOfRange, "connections", "must not be less than slots");
   }
   return server;
 }
@@ -161,7 +162,8 @@
   double sum = 0.0;
   for (const RoutePart& part : route.parts) sum += part.weight;
   if (sum <= 0.0)
-    reader.AddFailure(FailureCode::kImpossibleShare, "parts", "must have some weight");
+    reader.AddFailure(FailureCode::kImpossibleShare, "parts",
+                      "must have a total weight greater than zero");
   return route;
 }
 
@@ -203,18 +205,19 @@
     sum += priority.guaranteed_share;
     if (ranks.insert(priority.rank).second) continue;
     root.AddFailure(FailureCode::kDuplicateId, "priorities",
-                    "rank " + std::to_string(priority.rank) + " is declared twice");
+                    "rank " + std::to_string(priority.rank) + " is declared more than once");
   }
   for (std::size_t index = 1; index < priorities.size(); ++index) {
     if (priorities[index - 1].group <= priorities[index].group) continue;
-    root.AddFailure(FailureCode::kOutOfRange, "priorities", "the groups must follow the ranks");
+    root.AddFailure(FailureCode::kOutOfRange, "priorities",
+                    "the group must not decrease with increasing rank");
   }
   if (sum > 1.0 + kShareTolerance) {
     root.AddFailure(FailureCode::kImpossibleShare, "priorities",
                     "the guaranteed shares add up to more than 1");
   }
   if (priorities.empty()) {
-    root.AddFailure(FailureCode::kMissingField, "priorities", "must name at least one priority");
+    root.AddFailure(FailureCode::kMissingField, "priorities", "must contain at least one priority");
   }
 }
 
@@ -226,7 +229,7 @@
     for (const std::string& host : service.hosts) {
       if (!hosts.insert(host).second) {
         root.AddFailure(FailureCode::kDuplicateId, path + ".hosts",
-                        "\"" + host + "\" belongs to two services");
+                        "\"" + host + "\" is declared for more than one service");
       }
     }
     for (std::size_t rule = 0; rule < service.rules.size(); ++rule) {
@@ -246,7 +249,7 @@
     const std::string path = "routes[" + std::to_string(index) + "]";
     if (!host_prefixes.emplace(route.host, route.path_prefix).second) {
       root.AddFailure(FailureCode::kDuplicateId, path + ".path_prefix",
-                      "another route has the same host and prefix");
+                      "another route has the same host and path prefix");
     }
     if (!route.priority.IsEmpty() && declaration.FindPriority(route.priority) == nullptr) {
       root.AddFailure(FailureCode::kUnknownReference, path + ".priority",
@@ -285,7 +288,7 @@
     }
     if (!server.peer_address.empty() && !peer_addresses.insert(server.peer_address).second) {
       root.AddFailure(FailureCode::kDuplicateId, path + ".peer_address",
-                      "\"" + server.peer_address + "\" is declared twice");
+                      "\"" + server.peer_address + "\" is declared more than once");
     }
   }
 }
--- a/src/libs/declaration/declarationparser.h
+++ b/src/libs/declaration/declarationparser.h
@@ -9,15 +9,15 @@
 
 namespace damaskhollow {
 
-// What came of reading a declaration. It is usable only if `failures` is empty; each failure's
-// subject is "FILE: field path".
+// The result of parsing a declaration. `declaration` is valid only if `failures` is empty. The
+// subject of each failure is "FILE: field path".
 struct ParsedDeclaration {
   Declaration declaration;
   std::vector<Failure> failures;
 };
 
-// Parses and validates the JSON text of a declaration. `file` is named in failures only. All
-// failures are reported, not only the first.
+// Parses and validates the JSON text of a declaration. `file` is used in failures only. Reports all
+// failures, not only the first one; only a failure with kSyntax ends parsing early.
 ParsedDeclaration ParseDeclaration(std::string_view file, std::string_view text);
 
 }  // namespace damaskhollow
--- a/src/libs/declaration/jsonreader.cpp
+++ b/src/libs/declaration/jsonreader.cpp
@@ -12,7 +12,7 @@
   return QString::fromUtf8(text.data(), static_cast<qsizetype>(text.size()));
 }
 
-// The field's name without its unit: "target" for "target_ms" and "target_s".
+// Returns the name of a field without its unit suffix: "target" for "target_ms" and "target_s".
 std::string WithoutUnit(const std::string& field) {
   static constexpr std::array<std::string_view, 12> kUnits{
       "_ms",         "_s",         "_us", "_seconds",          "_minutes",
@@ -50,7 +50,7 @@
   const std::optional<QJsonValue> value = FindRequired(field);
   if (!value) return {};
   if (!value->isString() || value->toString().isEmpty()) {
-    AddFailure(FailureCode::kWrongType, field, "must be a text that is not empty");
+    AddFailure(FailureCode::kWrongType, field, "must be a non-empty string");
     return {};
   }
   return value->toString().toStdString();
@@ -66,7 +66,7 @@
   const double number = value->toDouble();
   if (number < low || number > high) {
     AddFailure(FailureCode::kOutOfRange, field,
-               "must be from " + QString::number(low).toStdString() + " to " +
+               "must be between " + QString::number(low).toStdString() + " and " +
                    QString::number(high).toStdString());
     return low;
   }
@@ -76,7 +76,7 @@
 std::size_t JsonReader::Integer(std::string_view field, std::size_t low, std::size_t high) {
   const double number = Number(field, static_cast<double>(low), static_cast<double>(high));
   if (number != std::floor(number)) {
-    AddFailure(FailureCode::kWrongType, field, "must be a whole number");
+    AddFailure(FailureCode::kWrongType, field, "must be an integer");
     return low;
   }
   return static_cast<std::size_t>(number);
@@ -97,7 +97,7 @@
   std::vector<std::string> strings;
   for (const auto& value : Array(field)) {
     if (!value.isString() || value.toString().isEmpty()) {
-      AddFailure(FailureCode::kWrongType, field, "must be a list of texts");
+      AddFailure(FailureCode::kWrongType, field, "must be an array of non-empty strings");
       return {};
     }
     strings.push_back(value.toString().toStdString());
@@ -108,7 +108,7 @@
 QJsonArray JsonReader::Array(std::string_view field) {
   const std::optional<QJsonValue> value = FindRequired(field);
   if (!value) return {};
-  if (!value->isArray()) AddFailure(FailureCode::kWrongType, field, "must be a list");
+  if (!value->isArray()) AddFailure(FailureCode::kWrongType, field, "must be an array");
   return value->toArray();
 }
 
@@ -125,7 +125,7 @@
 
 JsonReader JsonReader::Element(std::string_view field, int index, const QJsonValue& value) {
   const std::string path = PathOf(field) + "[" + std::to_string(index) + "]";
-  if (!value.isObject()) AddFailure(FailureCode::kWrongType, field, "must be a list of objects");
+  if (!value.isObject()) AddFailure(FailureCode::kWrongType, field, "must be an array of objects");
   return JsonReader(value.toObject(), m_file, path, m_failures);
 }
 
@@ -137,7 +137,8 @@
     bool wrong_unit = false;
     for (const std::string& requested : m_requested_fields) {
       if (WithoutUnit(requested) != stem || requested == stem) continue;
-      AddFailure(FailureCode::kWrongUnit, name, "the unit must be that of \"" + requested + "\"");
+      AddFailure(FailureCode::kWrongUnit, name,
+                 "has the wrong unit; the field is \"" + requested + "\"");
       wrong_unit = true;
       break;
     }
--- a/src/libs/declaration/jsonreader.h
+++ b/src/libs/declaration/jsonreader.h
@@ -16,14 +16,18 @@
 
 namespace damaskhollow {
 
-// Reads the fields of one JSON object strictly and notes every failure with the field's path.
-// Fields that were not asked for are reported by RejectUnknownFields.
+// Strict reader for the fields of a JSON object. Adds a failure with the path of the field to
+// `failures`, which must outlive the reader, for each invalid field. Fields that no call requested
+// are reported by RejectUnknownFields.
 class JsonReader {
  public:
+  // `file` and `path` are prefixes of the subjects of failures; `path` is empty for the root
+  // object.
   JsonReader(QJsonObject object, std::string file, std::string path,
              std::vector<Failure>& failures);
 
-  // Each reads a required field; on failure it notes the failure and returns an empty value.
+  // These functions read a required field. If it is missing or invalid, they add a failure and
+  // return an empty value, or `low` for numbers.
   std::string String(std::string_view field);
   double Number(std::string_view field, double low, double high);
   std::size_t Integer(std::string_view field, std::size_t low, std::size_t high);
@@ -31,23 +35,25 @@
   bool Bool(std::string_view field);
   std::vector<std::string> StringList(std::string_view field);
   QJsonArray Array(std::string_view field);
-  // Whether the field is there. Asking marks it as known.
+  // Whether the field exists. Counts as a request for the field.
   bool Has(std::string_view field);
-  // A reader for an object field.
+  // Returns a reader for a required field that is an object.
   JsonReader Object(std::string_view field);
-  // A reader for an element of an array field.
+  // Returns a reader for the element at `index` of an array field, which must be an object.
   JsonReader Element(std::string_view field, int index, const QJsonValue& value);
 
-  // Notes a failure for each field that no call asked for. A field that differs from a known one
-  // only by its unit is a wrong unit.
+  // Adds a failure for each field that no call requested: kWrongUnit if the field differs from a
+  // requested one only in its unit suffix, otherwise kUnknownField.
   void RejectUnknownFields();
 
-  // Notes a failure at a field of this object, or at the object itself if `field` is empty.
+  // Adds a failure for a field of this object, or for the object itself if `field` is empty.
   void AddFailure(FailureCode code, std::string_view field, std::string detail);
 
+  // Returns the path of a field from the root object, for instance "services[0].hosts".
   std::string PathOf(std::string_view field) const;
 
  private:
+  // Returns the value of a field. Adds a failure and returns nothing if there is no such field.
   std::optional<QJsonValue> FindRequired(std::string_view field);
 
   QJsonObject m_object;
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -22,33 +22,33 @@
   damaskhollow-node (-h | --help)
   damaskhollow-node --version
 
-Each option can also be given as an environment variable: --peer-listen as DAMASKHOLLOW_PEER_LISTEN. A flag goes first.
+Each option can also be given as an environment variable: --peer-listen as DAMASKHOLLOW_PEER_LISTEN. Flags take precedence.
 
 Options:
   --server-id=ID              Id of the backend server in the inventory (required).
   --region=ID                 Region of this VM (required).
   --data-centre=ID            Data centre of this VM (required).
-  --listen=IP:PORT            Where callers connect [default: 127.0.0.1:8080].
-  --peer-listen=IP:PORT       Where other nodes connect [default: 127.0.0.1:7080].
-  --admin-listen=IP:PORT      Metrics, health and status [default: 127.0.0.1:9080].
+  --listen=IP:PORT            Address on which callers connect [default: 127.0.0.1:8080].
+  --peer-listen=IP:PORT       Address on which other nodes connect [default: 127.0.0.1:7080].
+  --admin-listen=IP:PORT      Address for metrics, health and status [default: 127.0.0.1:9080].
   --declaration-file=FILE     Read the declaration from a file instead of the configuration service.
-  --configuration-url=URL     Configuration service to read and watch.
+  --configuration-url=URL     URL of the configuration service, which is read and watched.
   --configuration-region=ID   Region of the configuration service; only one reader of each other region watches it.
-  --vm-list-url=URL           List of live and leaving VMs.
-  --seed-peers=LIST           Nodes to ask for the configuration on start: id=IP:PORT,id=IP:PORT.
-  --peer-overrides=LIST       Addresses to dial in place of declared ones: id=IP:PORT,id=IP:PORT.
-  --secret-key-file=FILE      CURVE secret key of this node; without it links are not encrypted.
+  --vm-list-url=URL           URL of the list of live and leaving VMs.
+  --seed-peers=LIST           Nodes to request the configuration from at start-up: id=IP:PORT,id=IP:PORT.
+  --peer-overrides=LIST       Addresses to dial instead of declared ones: id=IP:PORT,id=IP:PORT.
+  --secret-key-file=FILE      File with the CURVE secret key of this node; without it links are not encrypted.
   --routing-strategy=NAME     adaptive, round_robin, random or least_reported [default: adaptive].
   --workers=N                 Worker threads [default: 2].
-  --caller-connections=N      Caller connections held at most [default: 1024].
-  --body-memory-bytes=N       Memory for request bodies [default: 8388608].
-  --drain-announce-ms=N       Time between the drain notice and closing the caller port [default: 3000].
-  --drain-timeout-ms=N        Longest wait for calls in flight on shutdown [default: 600000].
-  --crash-guard=SWITCH        Refuse requests that crash servers: on or off [default: on].
-  --silent-link-detection=SWITCH  Replace links that went silent: on or off [default: on].
+  --caller-connections=N      Maximum number of caller connections [default: 1024].
+  --body-memory-bytes=N       Maximum memory for request bodies, in bytes [default: 8388608].
+  --drain-announce-ms=N       Milliseconds between the drain notice and closing the caller port [default: 3000].
+  --drain-timeout-ms=N        Maximum wait for calls in flight on shutdown, in milliseconds [default: 600000].
+  --crash-guard=SWITCH        Refuse requests that crash backend servers: on or off [default: on].
+  --silent-link-detection=SWITCH  Replace links that stop responding: on or off [default: on].
   --log-level=LEVEL           debug, info, warning or error [default: info].
-  --print-settings            Print each setting with its origin and exit.
-  -h --help                   Show this text.
+  --print-settings            Print the value and origin of each setting, and exit.
+  -h --help                   Show this help.
   --version                   Show the version.
 )";
 
@@ -56,6 +56,7 @@
 
 using SettingMap = std::map<std::string, std::string>;
 
+// Returns the name of the environment variable for a flag.
 std::string EnvironmentName(std::string_view flag) {
   std::string name = "DAMASKHOLLOW_";
   for (const char character : flag.substr(2)) {
@@ -70,6 +71,7 @@
   return Failure{FailureCode::kInvalidSetting, std::string(flag), std::move(detail)};
 }
 
+// Validates the value of a setting and stores it in a field of NodeSettings.
 using SettingParser = Result<void> (*)(NodeSettings&, std::string_view flag,
                                        const std::string& value);
 
@@ -100,7 +102,7 @@
   const char* end = value.data() + value.size();
   const auto [rest, error] = std::from_chars(value.data(), end, number);
   if (error != std::errc() || rest != end || number < Low || number > High) {
-    return InvalidSetting(flag, "must be a whole number from " + std::to_string(Low) + " to " +
+    return InvalidSetting(flag, "must be an integer between " + std::to_string(Low) + " and " +
                                     std::to_string(High) + ", not \"" + value + "\"");
   }
   settings.*Member = number;
@@ -154,7 +156,7 @@
   for (std::string entry; std::getline(entries, entry, ',');) {
     const std::size_t equals = entry.find('=');
     if (equals == std::string::npos || equals == 0) {
-      return InvalidSetting(flag, "\"" + entry + "\" is not id=IP:PORT");
+      return InvalidSetting(flag, "\"" + entry + "\" is not of the form id=IP:PORT");
     }
     Result<Endpoint> endpoint = ParseEndpoint(std::string_view(entry).substr(equals + 1));
     if (!endpoint) return InvalidSetting(flag, endpoint.error().detail);
@@ -163,6 +165,7 @@
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
+// A setting and the function that validates and stores its value.
 struct SettingDefinition {
   std::string_view flag;
   SettingParser parse;
@@ -217,7 +220,7 @@
   const bool from_service = !settings.configuration_url.empty();
   if (from_file == from_service) {
     return InvalidSetting("--declaration-file",
-                          "give either --declaration-file or --configuration-url");
+                          "exactly one of --declaration-file and --configuration-url is required");
   }
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -14,7 +14,7 @@
 
 namespace damaskhollow {
 
-// Settings of one node, checked.
+// The validated settings of a node.
 struct NodeSettings {
   BackendServerId server_id;
   RegionId region;
@@ -22,13 +22,13 @@
   Endpoint listen;
   Endpoint peer_listen;
   Endpoint admin_listen;
-  std::string declaration_file;                    // Empty unless read from a file.
-  std::string configuration_url;                   // Empty unless read from the service.
-  RegionId configuration_region;                   // Empty if unknown.
-  std::map<BackendServerId, Endpoint> seed_peers;  // Asked by a node without a configuration.
-  std::string vm_list_url;                         // Empty: every inventory entry is taken as live.
+  std::string declaration_file;   // Empty if the declaration is not read from a file.
+  std::string configuration_url;  // Empty if not read from the configuration service.
+  RegionId configuration_region;  // Empty if unknown.
+  std::map<BackendServerId, Endpoint> seed_peers;  // Queried by a node without a configuration.
+  std::string vm_list_url;  // Empty: all servers of the inventory count as live.
   std::map<BackendServerId, Endpoint>
-      peer_overrides;           // Addresses to dial in place of the declared.
+      peer_overrides;           // Addresses to dial instead of the declared ones.
   std::string secret_key_file;  // Empty: links are neither encrypted nor authenticated.
   std::string routing_strategy;
   std::string log_level;
@@ -44,29 +44,30 @@
 // Where the value of a setting came from.
 enum class SettingOrigin { kDefault, kEnvironment, kFlag };
 
-// One line of --print-settings.
+// The value and origin of one setting, shown as one line by --print-settings.
 struct SettingLine {
   std::string name;
   std::string value;
   SettingOrigin origin;
 };
 
-// A checked set of settings with the origin of each.
+// The validated settings, and the value and origin of each of them.
 struct LoadedSettings {
   NodeSettings settings;
   std::vector<SettingLine> lines;
-  bool print_only = false;
+  bool print_only = false;  // Whether --print-settings was given.
 };
 
-// Reads flags, then DAMASKHOLLOW_* variables, then defaults. `arguments` excludes the program name.
-// Prints the help text and exits the process with status 0 on --help or --version.
+// Loads the settings. Flags take precedence over DAMASKHOLLOW_* variables, and these over the
+// defaults. `arguments` excludes the program name. With --help or --version, prints the text and
+// exits the process with status 0.
 Result<LoadedSettings> LoadNodeSettings(std::span<const std::string> arguments,
                                         const std::map<std::string, std::string>& environment);
 
-// The DAMASKHOLLOW_* variables of this process.
+// Returns the DAMASKHOLLOW_* environment variables of this process.
 std::map<std::string, std::string> ProcessEnvironment();
 
-// Text for --print-settings.
+// Formats the settings for --print-settings, one per line.
 std::string FormatSettings(std::span<const SettingLine> lines);
 
 }  // namespace damaskhollow
--- a/src/libs/wire/linkkeys.cpp
+++ b/src/libs/wire/linkkeys.cpp
@@ -16,8 +16,7 @@
   Z85Key public_key{};
   Z85Key secret_key{};
   if (zmq_curve_keypair(public_key.data(), secret_key.data()) != 0) {
-    return Failure{FailureCode::kInvalidKey, "CURVE",
-                   "this build of ZeroMQ has no CURVE support"};
+    return Failure{FailureCode::kInvalidKey, "CURVE", "this build of ZeroMQ has no CURVE support"};
   }
   return LinkKeys{public_key.data(), secret_key.data()};
 }
--- a/tests/auto/declaration/tst_declarationdiff.cpp
+++ b/tests/auto/declaration/tst_declarationdiff.cpp
@@ -25,7 +25,7 @@
    "retry_share": 0.1, "hedge_share": 0.05}
 })";
 
-// One change of the text and the difference that must come of it.
+// A change of the declaration text and the difference that it must produce.
 struct DiffCase {
   std::string_view from;
   std::string_view to;
@@ -91,7 +91,8 @@
     CPPUNIT_ASSERT(DeclarationDiff(Parse(kBefore), Parse(kBefore)).Changes().empty());
   }
 
-  // Guards against a change that a review of the difference would not show.
+  // Guards against a changed field that the difference does not report, so that a review of the
+  // difference misses it.
   void FindsEachChangedField() {
     for (const DiffCase& row : kCases) {
       const DeclarationDiff diff(Parse(kBefore), Parse(Replaced(kBefore, row.from, row.to)));
@@ -107,7 +108,7 @@
     }
   }
 
-  // Guards against a renamed server that shows as one changed entry, or not at all.
+  // Guards against a renamed server that is reported as one changed entry, or not at all.
   void FindsAddedAndRemovedEntries() {
     const DeclarationDiff diff(Parse(kBefore), Parse(Replaced(kBefore, "portail-1", "portail-2")));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, diff.Changes().size());
@@ -117,7 +118,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("backend server portail-2"), diff.Changes()[1].subject);
   }
 
-  // The first of two matching rules with equally long prefixes counts, so their order matters.
+  // Of two matching rules with prefixes of the same length the first is used, so that a change of
+  // their order must be reported.
   void FindsChangedOrderOfRules() {
     Declaration after = Parse(kBefore);
     std::swap(after.services[0].rules[0], after.services[0].rules[1]);
--- a/tests/auto/declaration/tst_declarationparser.cpp
+++ b/tests/auto/declaration/tst_declarationparser.cpp
@@ -23,7 +23,7 @@
    "retry_share": 0.1, "hedge_share": 0.05}
 })";
 
-// One change of the valid declaration and the failure that must come of it.
+// A change of the valid declaration and the failure that it must produce.
 struct InvalidCase {
   std::string_view name;
   std::string_view from;
@@ -88,7 +88,7 @@
     CPPUNIT_ASSERT(Declaration::FindRule(*service, "GET", "/datasets/1") == nullptr);
   }
 
-  // Guards against declarations that come into force although a field is mistyped or misplaced.
+  // Guards against accepting a declaration with a misspelt, misplaced or invalid field.
   void RefusesInvalidDeclarations() {
     for (const InvalidCase& row : kInvalidCases) {
       const ParsedDeclaration parsed =
