--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -22,33 +22,33 @@
   damaskhollow-node (-h | --help)
   damaskhollow-node --version
 
-Each option can also be given as an environment variable: --peer-listen as DAMASKHOLLOW_PEER_LISTEN. A flag goes first.
+Each option can also be given as an environment variable: --peer-listen as DAMASKHOLLOW_PEER_LISTEN. Flags take precedence.
 
 Options:
   --server-id=ID              Id of the backend server in the inventory (required).
   --region=ID                 Region of this VM (required).
   --data-centre=ID            Data centre of this VM (required).
-  --listen=IP:PORT            Where callers connect [default: 127.0.0.1:8080].
-  --peer-listen=IP:PORT       Where other nodes connect [default: 127.0.0.1:7080].
-  --admin-listen=IP:PORT      Metrics, health and status [default: 127.0.0.1:9080].
+  --listen=IP:PORT            Address on which callers connect [default: 127.0.0.1:8080].
+  --peer-listen=IP:PORT       Address on which other nodes connect [default: 127.0.0.1:7080].
+  --admin-listen=IP:PORT      Address for metrics, health and status [default: 127.0.0.1:9080].
   --declaration-file=FILE     Read the declaration from a file instead of the configuration service.
-  --configuration-url=URL     Configuration service to read and watch.
+  --configuration-url=URL     URL of the configuration service, which is read and watched.
   --configuration-region=ID   Region of the configuration service; only one reader of each other region watches it.
-  --vm-list-url=URL           List of live and leaving VMs.
-  --seed-peers=LIST           Nodes to ask for the configuration on start: id=IP:PORT,id=IP:PORT.
-  --peer-overrides=LIST       Addresses to dial in place of declared ones: id=IP:PORT,id=IP:PORT.
-  --secret-key-file=FILE      CURVE secret key of this node; without it links are not encrypted.
+  --vm-list-url=URL           URL of the list of live and leaving VMs.
+  --seed-peers=LIST           Nodes to request the configuration from at start-up: id=IP:PORT,id=IP:PORT.
+  --peer-overrides=LIST       Addresses to dial instead of declared ones: id=IP:PORT,id=IP:PORT.
+  --secret-key-file=FILE      File with the CURVE secret key of this node; without it links are not encrypted.
   --routing-strategy=NAME     adaptive, round_robin, random or least_reported [default: adaptive].
   --workers=N                 Worker threads [default: 2].
-  --caller-connections=N      Caller connections held at most [default: 1024].
-  --body-memory-bytes=N       Memory for request bodies [default: 8388608].
-  --drain-announce-ms=N       Time between the drain notice and closing the caller port [default: 3000].
-  --drain-timeout-ms=N        Longest wait for calls in flight on shutdown [default: 600000].
-  --crash-guard=SWITCH        Refuse requests that crash servers: on or off [default: on].
-  --silent-link-detection=SWITCH  Replace links that went silent: on or off [default: on].
+  --caller-connections=N      Maximum number of caller connections [default: 1024].
+  --body-memory-bytes=N       Maximum memory for request bodies, in bytes [default: 8388608].
+  --drain-announce-ms=N       Milliseconds between the drain notice and closing the caller port [default: 3000].
+  --drain-timeout-ms=N        Maximum wait for calls in flight on shutdown, in milliseconds [default: 600000].
+  --crash-guard=SWITCH        Refuse requests that crash backend servers: on or off [default: on].
+  --silent-link-detection=SWITCH  Replace links that stop responding: on or off [default: on].
   --log-level=LEVEL           debug, info, warning or error [default: info].
-  --print-settings            Print each setting with its origin and exit.
-  -h --help                   Show this text.
+  --print-settings            Print the value and origin of each setting, and exit.
+  -h --help                   Show this help.
   --version                   Show the version.
 )";
 
@@ -56,11 +56,13 @@
 
 using SettingMap = std::map<std::string, std::string>;
 
+// Returns the name of the environment variable for a flag.
 std::string EnvironmentName(std::string_view flag) {
   std::string name = "DAMASKHOLLOW_";
-  for (const char letter : flag.substr(2)) {
-    name +=
-        letter == '-' ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(letter)));
+  for (const char character : flag.substr(2)) {
+    name += character == '-'
+                ? '_'
+                : static_cast<char>(std::toupper(static_cast<unsigned char>(character)));
   }
   return name;
 }
@@ -69,8 +71,9 @@
   return Failure{FailureCode::kInvalidSetting, std::string(flag), std::move(detail)};
 }
 
-using FieldParser = Result<void> (*)(NodeSettings&, std::string_view flag,
-                                     const std::string& value);
+// Validates the value of a setting and stores it in a field of NodeSettings.
+using SettingParser = Result<void> (*)(NodeSettings&, std::string_view flag,
+                                       const std::string& value);
 
 template <auto Member>
 Result<void> ParseText(NodeSettings& settings, std::string_view, const std::string& value) {
@@ -99,7 +102,7 @@
   const char* end = value.data() + value.size();
   const auto [rest, error] = std::from_chars(value.data(), end, number);
   if (error != std::errc() || rest != end || number < Low || number > High) {
-    return InvalidSetting(flag, "must be a whole number from " + std::to_string(Low) + " to " +
+    return InvalidSetting(flag, "must be an integer between " + std::to_string(Low) + " and " +
                                     std::to_string(High) + ", not \"" + value + "\"");
   }
   settings.*Member = number;
@@ -153,7 +156,7 @@
   for (std::string entry; std::getline(entries, entry, ',');) {
     const std::size_t equals = entry.find('=');
     if (equals == std::string::npos || equals == 0) {
-      return InvalidSetting(flag, "\"" + entry + "\" is not id=IP:PORT");
+      return InvalidSetting(flag, "\"" + entry + "\" is not of the form id=IP:PORT");
     }
     Result<Endpoint> endpoint = ParseEndpoint(std::string_view(entry).substr(equals + 1));
     if (!endpoint) return InvalidSetting(flag, endpoint.error().detail);
@@ -162,38 +165,43 @@
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-struct Field {
+// A setting and the function that validates and stores its value.
+struct SettingDefinition {
   std::string_view flag;
-  FieldParser parse;
+  SettingParser parse;
 };
 
 constexpr std::size_t kMegabyte = 1024UL * 1024UL;
 constexpr std::size_t kDayMs = 86400000;
 
-constexpr std::array kFields{
-    Field{"--server-id", ParseId<&NodeSettings::server_id>},
-    Field{"--region", ParseId<&NodeSettings::region>},
-    Field{"--data-centre", ParseId<&NodeSettings::data_centre>},
-    Field{"--listen", ParseAddress<&NodeSettings::listen>},
-    Field{"--peer-listen", ParseAddress<&NodeSettings::peer_listen>},
-    Field{"--admin-listen", ParseAddress<&NodeSettings::admin_listen>},
-    Field{"--declaration-file", ParseText<&NodeSettings::declaration_file>},
-    Field{"--configuration-url", ParseText<&NodeSettings::configuration_url>},
-    Field{"--vm-list-url", ParseText<&NodeSettings::vm_list_url>},
-    Field{"--configuration-region", ParseOptionalId<&NodeSettings::configuration_region>},
-    Field{"--seed-peers", ParsePeers<&NodeSettings::seed_peers>},
-    Field{"--peer-overrides", ParsePeers<&NodeSettings::peer_overrides>},
-    Field{"--secret-key-file", ParseText<&NodeSettings::secret_key_file>},
-    Field{"--routing-strategy", ParseStrategy},
-    Field{"--workers", ParseNumber<&NodeSettings::workers, 1, 64>},
-    Field{"--caller-connections", ParseNumber<&NodeSettings::caller_connections, 1, 65536>},
-    Field{"--body-memory-bytes",
-          ParseNumber<&NodeSettings::body_memory_bytes, kMegabyte, 1024 * kMegabyte>},
-    Field{"--drain-announce-ms", ParseNumber<&NodeSettings::drain_announce_ms, 0, kDayMs>},
-    Field{"--drain-timeout-ms", ParseNumber<&NodeSettings::drain_timeout_ms, 0, kDayMs>},
-    Field{"--crash-guard", ParseSwitch<&NodeSettings::crash_guard>},
-    Field{"--silent-link-detection", ParseSwitch<&NodeSettings::silent_link_detection>},
-    Field{"--log-level", ParseLogLevel},
+constexpr std::array kSettingDefinitions{
+    SettingDefinition{"--server-id", ParseId<&NodeSettings::server_id>},
+    SettingDefinition{"--region", ParseId<&NodeSettings::region>},
+    SettingDefinition{"--data-centre", ParseId<&NodeSettings::data_centre>},
+    SettingDefinition{"--listen", ParseAddress<&NodeSettings::listen>},
+    SettingDefinition{"--peer-listen", ParseAddress<&NodeSettings::peer_listen>},
+    SettingDefinition{"--admin-listen", ParseAddress<&NodeSettings::admin_listen>},
+    SettingDefinition{"--declaration-file", ParseText<&NodeSettings::declaration_file>},
+    SettingDefinition{"--configuration-url", ParseText<&NodeSettings::configuration_url>},
+    SettingDefinition{"--vm-list-url", ParseText<&NodeSettings::vm_list_url>},
+    SettingDefinition{"--configuration-region",
+                      ParseOptionalId<&NodeSettings::configuration_region>},
+    SettingDefinition{"--seed-peers", ParsePeers<&NodeSettings::seed_peers>},
+    SettingDefinition{"--peer-overrides", ParsePeers<&NodeSettings::peer_overrides>},
+    SettingDefinition{"--secret-key-file", ParseText<&NodeSettings::secret_key_file>},
+    SettingDefinition{"--routing-strategy", ParseStrategy},
+    SettingDefinition{"--workers", ParseNumber<&NodeSettings::workers, 1, 64>},
+    SettingDefinition{"--caller-connections",
+                      ParseNumber<&NodeSettings::caller_connections, 1, 65536>},
+    SettingDefinition{"--body-memory-bytes",
+                      ParseNumber<&NodeSettings::body_memory_bytes, kMegabyte, 1024 * kMegabyte>},
+    SettingDefinition{"--drain-announce-ms",
+                      ParseNumber<&NodeSettings::drain_announce_ms, 0, kDayMs>},
+    SettingDefinition{"--drain-timeout-ms",
+                      ParseNumber<&NodeSettings::drain_timeout_ms, 0, kDayMs>},
+    SettingDefinition{"--crash-guard", ParseSwitch<&NodeSettings::crash_guard>},
+    SettingDefinition{"--silent-link-detection", ParseSwitch<&NodeSettings::silent_link_detection>},
+    SettingDefinition{"--log-level", ParseLogLevel},
 };
 
 std::string TextOf(const docopt::value& value) {
@@ -207,12 +215,12 @@
   return false;
 }
 
-Result<void> CheckSources(const NodeSettings& settings) {
+Result<void> CheckConfigurationSource(const NodeSettings& settings) {
   const bool from_file = !settings.declaration_file.empty();
   const bool from_service = !settings.configuration_url.empty();
   if (from_file == from_service) {
     return InvalidSetting("--declaration-file",
-                          "give either --declaration-file or --configuration-url");
+                          "exactly one of --declaration-file and --configuration-url is required");
   }
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
@@ -237,22 +245,24 @@
 
   LoadedSettings loaded;
   loaded.print_only = parsed.at("--print-settings").asBool();
-  for (const Field& field : kFields) {
-    SettingLine line{std::string(field.flag), TextOf(parsed.at(std::string(field.flag))),
+  for (const SettingDefinition& definition : kSettingDefinitions) {
+    SettingLine line{std::string(definition.flag), TextOf(parsed.at(std::string(definition.flag))),
                      SettingOrigin::kDefault};
-    const auto variable = environment.find(EnvironmentName(field.flag));
-    if (IsGiven(arguments, field.flag)) {
+    const auto variable = environment.find(EnvironmentName(definition.flag));
+    if (IsGiven(arguments, definition.flag)) {
       line.origin = SettingOrigin::kFlag;
     } else if (variable != environment.end()) {
       line.origin = SettingOrigin::kEnvironment;
       line.value = variable->second;
     }
-    if (Result<void> result = field.parse(loaded.settings, field.flag, line.value); !result) {
+    if (Result<void> result = definition.parse(loaded.settings, definition.flag, line.value);
+        !result) {
       return result.error();
     }
     loaded.lines.push_back(std::move(line));
   }
-  if (Result<void> result = CheckSources(loaded.settings); !result) return result.error();
+  if (Result<void> result = CheckConfigurationSource(loaded.settings); !result)
+    return result.error();
   return loaded;
 }
 
