--- a/src/libs/calls/attemptmessages.cpp
+++ b/src/libs/calls/attemptmessages.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::string DigestOf(const ServiceId& service, const HttpRequest& request) {
+std::string RequestDigest(const ServiceId& service, const HttpRequest& request) {
   QCryptographicHash hash(QCryptographicHash::Sha256);
   AddToHash(hash, service.Value());
   AddToHash(hash, request.method);
@@ -26,9 +26,9 @@
   return hash.result().first(kDigestBytes).toStdString();
 }
 
-wire::Envelope CallRequestFor(const AttemptName& attempt, const BackendServerId& server,
-                              const CallClass& call_class, const std::string& digest,
-                              const HttpRequest& request) {
+wire::Envelope MakeCallRequest(const AttemptKey& attempt, const BackendServerId& server,
+                               const CallClass& call_class, const std::string& digest,
+                               const HttpRequest& request) {
   wire::Envelope message;
   wire::CallRequest& call = *message.mutable_call_request();
   call.set_call_id(attempt.call.value);
@@ -53,7 +53,7 @@
   return message;
 }
 
-wire::Envelope CancelFor(const AttemptName& attempt) {
+wire::Envelope MakeCancel(const AttemptKey& attempt) {
   wire::Envelope message;
   message.mutable_cancel()->set_call_id(attempt.call.value);
   message.mutable_cancel()->set_ingress_incarnation(attempt.ingress.value);
@@ -61,7 +61,7 @@
   return message;
 }
 
-wire::Envelope StatusQueryFor(const AttemptName& attempt, std::uint32_t next_sequence) {
+wire::Envelope MakeStatusQuery(const AttemptKey& attempt, std::uint32_t next_sequence) {
   wire::Envelope message;
   wire::StatusQuery& query = *message.mutable_status_query();
   query.set_call_id(attempt.call.value);
@@ -72,17 +72,17 @@
   return message;
 }
 
-Proof ProofOf(wire::CallState call_state, const wire::OwnerState& owner,
-              const ExpiryStamp& expiry) {
-  if (owner.incarnation() != expiry.incarnation.value) return Proof::kNone;
+AttemptStatus AttemptStatusFrom(wire::CallState call_state, const wire::OwnerState& owner,
+                                const ExpiryStamp& expiry) {
+  if (owner.incarnation() != expiry.incarnation.value) return AttemptStatus::kUnknown;
   switch (call_state) {
     case wire::CALL_STATE_CANCELLED:
     case wire::CALL_STATE_NEVER_SEEN:  // Owners say this only before the call's expiry.
-      return Proof::kNotRun;
+      return AttemptStatus::kNotRun;
     case wire::CALL_STATE_DONE:
-      return Proof::kDone;
+      return AttemptStatus::kDone;
     default:
-      return Proof::kPending;
+      return AttemptStatus::kPending;
   }
 }
 
--- a/src/libs/calls/attemptmessages.h
+++ b/src/libs/calls/attemptmessages.h
@@ -14,31 +14,32 @@
 namespace damaskhollow {
 
 // Names an attempt towards its owner.
-struct AttemptName {
+struct AttemptKey {
   CallId call;
   Incarnation ingress;
   ExpiryStamp expiry;
 };
 
 // The messages by which an ingress sends an attempt and asks about it.
-wire::Envelope CallRequestFor(const AttemptName& attempt, const BackendServerId& server,
-                              const CallClass& call_class, const std::string& digest,
-                              const HttpRequest& request);
-wire::Envelope CancelFor(const AttemptName& attempt);
-wire::Envelope StatusQueryFor(const AttemptName& attempt, std::uint32_t next_sequence);
+wire::Envelope MakeCallRequest(const AttemptKey& attempt, const BackendServerId& server,
+                               const CallClass& call_class, const std::string& digest,
+                               const HttpRequest& request);
+wire::Envelope MakeCancel(const AttemptKey& attempt);
+wire::Envelope MakeStatusQuery(const AttemptKey& attempt, std::uint32_t next_sequence);
 
 // The digest that names a request towards the crash guard.
-std::string DigestOf(const ServiceId& service, const HttpRequest& request);
+std::string RequestDigest(const ServiceId& service, const HttpRequest& request);
 
 // What an owner's word on a call proves.
-enum class Proof {
+enum class AttemptStatus {
   kNotRun,  // It has not run and will not run.
   kPending,
   kDone,
-  kNone,  // The owner is another process.
+  kUnknown,  // The owner is another process.
 };
 
-Proof ProofOf(wire::CallState call_state, const wire::OwnerState& owner, const ExpiryStamp& expiry);
+AttemptStatus AttemptStatusFrom(wire::CallState call_state, const wire::OwnerState& owner,
+                                const ExpiryStamp& expiry);
 
 }  // namespace damaskhollow
 
--- a/src/libs/calls/callheaders.cpp
+++ b/src/libs/calls/callheaders.cpp
@@ -18,7 +18,7 @@
 }
 
 // Fields by which a backend server could contradict the node.
-bool IsNodeField(std::string_view name, const CallConvention& convention) {
+bool IsReservedField(std::string_view name, const CallConvention& convention) {
   for (const std::string* field : {&convention.outcome, &convention.reason, &convention.served_by,
                                    &convention.replayed, &convention.drain}) {
     if (IsSameName(name, *field)) return true;
@@ -47,24 +47,24 @@
 std::string ToSeconds(std::chrono::milliseconds time) {
   constexpr std::int64_t kMillisecondsPerSecond = 1000;
   const std::int64_t whole = time.count() / kMillisecondsPerSecond;
-  const std::int64_t rest = time.count() % kMillisecondsPerSecond;
-  if (rest == 0) return std::to_string(whole);
-  std::string fraction = std::to_string(kMillisecondsPerSecond + rest).substr(1);
+  const std::int64_t remainder = time.count() % kMillisecondsPerSecond;
+  if (remainder == 0) return std::to_string(whole);
+  std::string fraction = std::to_string(kMillisecondsPerSecond + remainder).substr(1);
   fraction.erase(fraction.find_last_not_of('0') + 1);
   return std::to_string(whole) + "." + fraction;
 }
 
 // The status for a caller that reads promises off it: 503 where the call was not run, and none of
 // the statuses that promise it where that is not proved.
-int PromisedStatus(int status, Outcome outcome) {
+int StatusForOutcome(int status, Outcome outcome) {
   constexpr int kUnavailable = 503;
   constexpr int kBadGateway = 502;
   constexpr int kFirstServerError = 500;
   constexpr int kUnprocessable = 422;
   const bool is_own_fault = status >= kFirstServerError || status == kUnprocessable;
   if (outcome == Outcome::kNotRun) return is_own_fault ? kUnavailable : status;
-  const bool is_promise = status == kUnavailable || status < kFirstServerError;
-  return is_promise ? kBadGateway : status;
+  const bool means_not_run = status == kUnavailable || status < kFirstServerError;
+  return means_not_run ? kBadGateway : status;
 }
 
 }  // namespace
@@ -82,7 +82,8 @@
   return call;
 }
 
-void StampOrigin(HttpRequest& request, const CallConvention& convention, const ServiceId& origin) {
+void ReplaceOriginHeaders(HttpRequest& request, const CallConvention& convention,
+                          const ServiceId& origin) {
   std::erase_if(request.headers, [&](const HttpHeader& header) {
     return IsSameName(header.name, convention.caller_service) ||
            IsSameName(header.name, convention.expected_instance);
@@ -90,8 +91,8 @@
   AddField(request.headers, convention.caller_service, origin.Value());
 }
 
-HttpRequest BackendRequestOf(wire::CallRequest& request, std::chrono::milliseconds remaining,
-                             const CallConvention& convention, std::string_view instance) {
+HttpRequest MakeBackendRequest(wire::CallRequest& request, std::chrono::milliseconds remaining,
+                               const CallConvention& convention, std::string_view instance) {
   HttpRequest http;
   http.method = request.method();
   http.target = request.target();
@@ -110,7 +111,7 @@
   wire::ResponseHead message;
   message.set_status(static_cast<std::uint32_t>(head.status));
   for (const HttpHeader& header : EndToEndHeaders(head.headers)) {
-    if (IsNodeField(header.name, convention)) continue;
+    if (IsReservedField(header.name, convention)) continue;
     wire::Header& field = *message.add_headers();
     field.set_name(header.name);
     field.set_value(header.value);
@@ -123,8 +124,8 @@
   return message;
 }
 
-HttpResponseHead AnsweredHead(const wire::ResponseHead& head, const CallConvention& convention,
-                              std::string_view server) {
+HttpResponseHead MakeAnswerHead(const wire::ResponseHead& head, const CallConvention& convention,
+                                std::string_view server) {
   HttpResponseHead answer;
   answer.status = static_cast<int>(head.status());
   for (const wire::Header& header : head.headers()) {
@@ -143,24 +144,24 @@
   return answer;
 }
 
-ReasonAnswer AnswerFor(Reason reason, Outcome outcome, const CallConvention& convention,
-                       std::chrono::milliseconds return_after) {
+GeneratedAnswer GenerateAnswer(Reason reason, Outcome outcome, const CallConvention& convention,
+                               std::chrono::milliseconds retry_after) {
   constexpr int kUnavailable = 503;
   const ReasonInfo& info = InfoOf(reason);
   QJsonObject json;
   json.insert("outcome", ToQString(OutcomeName(outcome)));
   json.insert("reason", ToQString(info.name));
   json.insert("explanation", ToQString(info.explanation));
-  ReasonAnswer answer;
+  GeneratedAnswer answer;
   answer.body = QJsonDocument(json).toJson(QJsonDocument::Compact).toStdString() + "\n";
   answer.head.status =
-      convention.status_is_promise ? PromisedStatus(info.http_status, outcome) : info.http_status;
+      convention.status_is_promise ? StatusForOutcome(info.http_status, outcome) : info.http_status;
   answer.head.content_length = answer.body.size();
   answer.head.headers.push_back({"Content-Type", "application/json"});
   AddField(answer.head.headers, convention.outcome, OutcomeName(outcome));
   AddField(answer.head.headers, convention.reason, info.name);
   if (answer.head.status == kUnavailable) {
-    answer.head.headers.push_back({"Retry-After", ToSeconds(return_after)});
+    answer.head.headers.push_back({"Retry-After", ToSeconds(retry_after)});
   }
   return answer;
 }
--- a/src/libs/calls/callheaders.h
+++ b/src/libs/calls/callheaders.h
@@ -18,28 +18,29 @@
 
 // Replaces what the caller may not say itself: the service that it calls from, and the instance
 // that is meant.
-void StampOrigin(HttpRequest& request, const CallConvention& convention, const ServiceId& origin);
+void ReplaceOriginHeaders(HttpRequest& request, const CallConvention& convention,
+                          const ServiceId& origin);
 
 // The request to the backend server: the caller's, with the time left and the depth of the calls
 // that it makes itself. `instance` is the incarnation that is meant; it may be empty.
-HttpRequest BackendRequestOf(wire::CallRequest& request, std::chrono::milliseconds remaining,
-                             const CallConvention& convention, std::string_view instance);
+HttpRequest MakeBackendRequest(wire::CallRequest& request, std::chrono::milliseconds remaining,
+                               const CallConvention& convention, std::string_view instance);
 
 // The head of an answer for the wire, without connection fields.
 wire::ResponseHead ToWire(const HttpResponseHead& head, const CallConvention& convention);
 
 // The head of an answer for the caller, with outcome and server.
-HttpResponseHead AnsweredHead(const wire::ResponseHead& head, const CallConvention& convention,
-                              std::string_view server);
+HttpResponseHead MakeAnswerHead(const wire::ResponseHead& head, const CallConvention& convention,
+                                std::string_view server);
 
 // An answer made by the node itself, and its body.
-struct ReasonAnswer {
+struct GeneratedAnswer {
   HttpResponseHead head;
   std::string body;
 };
-// `return_after` is when the caller may come again, for answers that ask it to.
-ReasonAnswer AnswerFor(Reason reason, Outcome outcome, const CallConvention& convention,
-                       std::chrono::milliseconds return_after);
+// `retry_after` is when the caller may come again, for answers that ask it to.
+GeneratedAnswer GenerateAnswer(Reason reason, Outcome outcome, const CallConvention& convention,
+                               std::chrono::milliseconds retry_after);
 
 }  // namespace damaskhollow
 
--- a/src/libs/calls/sharedcrashguard.cpp
+++ b/src/libs/calls/sharedcrashguard.cpp
@@ -17,33 +17,33 @@
 
 }  // namespace
 
-Reason SharedCrashGuard::Check(const std::string& digest) const {
-  if (!m_is_on) return Reason::kNone;
+Reason SharedCrashGuard::CheckBan(const std::string& digest) const {
+  if (!m_enabled) return Reason::kNone;
   const std::lock_guard lock(m_lock);
   return m_guard.IsBanned(digest, MonotonicNow()) ? Reason::kCrashingRequest : Reason::kNone;
 }
 
 bool SharedCrashGuard::IsSuspect(const std::string& digest) const {
-  if (!m_is_on) return false;
+  if (!m_enabled) return false;
   const std::lock_guard lock(m_lock);
   return m_guard.IsSuspect(digest, MonotonicNow());
 }
 
-void SharedCrashGuard::NoteAnswered(const std::string& digest) {
-  if (!m_is_on) return;
+void SharedCrashGuard::RecordAnswered(const std::string& digest) {
+  if (!m_enabled) return;
   const std::lock_guard lock(m_lock);
   m_guard.NoteCompleted(digest, MonotonicNow());
 }
 
-void SharedCrashGuard::NoteCompletedHere(const std::string& digest) {
-  if (!m_is_on) return;
+void SharedCrashGuard::RecordLocalCompletion(const std::string& digest) {
+  if (!m_enabled) return;
   const std::lock_guard lock(m_lock);
   const bool was_suspect = m_guard.NoteCompleted(digest, MonotonicNow());
   if (was_suspect && m_cleared.size() < kMaxCleared) m_cleared.push_back(digest);
 }
 
-void SharedCrashGuard::NoteAborted(const std::string& digest) {
-  if (!m_is_on) return;
+void SharedCrashGuard::RecordAborted(const std::string& digest) {
+  if (!m_enabled) return;
   const std::lock_guard lock(m_lock);
   if (m_aborted.digests.size() >= kMaxAborted) return;
   if (m_aborted.digests.empty()) m_aborted.first = MonotonicNow();
@@ -72,26 +72,26 @@
   m_aborted = AbortedCalls{};
 }
 
-std::vector<std::string> SharedCrashGuard::TakeCleared() {
+std::vector<std::string> SharedCrashGuard::PopClearedSuspects() {
   const std::lock_guard lock(m_lock);
   return std::exchange(m_cleared, {});
 }
 
-void SharedCrashGuard::NoteReport(const BackendServerId& peer, const wire::CrashReport& report) {
-  if (!m_is_on || report.owner_id() != peer.Value()) return;
+void SharedCrashGuard::RecordReport(const BackendServerId& peer, const wire::CrashReport& report) {
+  if (!m_enabled || report.owner_id() != peer.Value()) return;
   std::vector<std::string> digests;
   for (const std::string& digest : report.digests()) {
     if (digest.empty() || digest.size() > kMaxDigestBytes) return;
     digests.push_back(digest);
   }
   const std::lock_guard lock(m_lock);
-  if (!IsNew(peer, report)) return;
+  if (!IsNewReport(peer, report)) return;
   const TimePoint now = MonotonicNow();
   if (report.completed()) return m_guard.NoteReportedCompletion(peer, digests, now);
   LogBanned(m_guard.NoteReportedCrash(peer, digests, now));
 }
 
-bool SharedCrashGuard::IsNew(const BackendServerId& peer, const wire::CrashReport& report) {
+bool SharedCrashGuard::IsNewReport(const BackendServerId& peer, const wire::CrashReport& report) {
   auto& [incarnation, sequence] = m_last_reports[peer];
   if (incarnation == report.owner_incarnation() && report.sequence() <= sequence) return false;
   incarnation = report.owner_incarnation();
--- a/src/libs/calls/sharedcrashguard.h
+++ b/src/libs/calls/sharedcrashguard.h
@@ -28,21 +28,21 @@
 // switched off, nothing is noted and nothing is a suspect.
 class SharedCrashGuard {
  public:
-  explicit SharedCrashGuard(bool is_on) : m_is_on(is_on) {}
+  explicit SharedCrashGuard(bool enabled) : m_enabled(enabled) {}
 
   // kCrashingRequest if the digest is banned, else kNone.
-  Reason Check(const std::string& digest) const;
+  Reason CheckBan(const std::string& digest) const;
   bool IsSuspect(const std::string& digest) const;
 
   // Notes that a request of this ingress was answered by any server.
-  void NoteAnswered(const std::string& digest);
+  void RecordAnswered(const std::string& digest);
 
   // Notes that this node's own backend server completed a request; peers are told if it was a
   // suspect.
-  void NoteCompletedHere(const std::string& digest);
+  void RecordLocalCompletion(const std::string& digest);
 
   // Notes that the backend server closed the connection of a call in flight.
-  void NoteAborted(const std::string& digest);
+  void RecordAborted(const std::string& digest);
 
   // The calls aborted since the last Confirm or Dismiss; empty if there are none.
   std::optional<AbortedCalls> Aborted() const;
@@ -54,17 +54,17 @@
   void DismissAborted();
 
   // The suspects that this node's own server completed since the last call.
-  std::vector<std::string> TakeCleared();
+  std::vector<std::string> PopClearedSuspects();
 
   // Notes what a peer reports. Reports on other servers than the peer's own, repeated ones and
   // malformed ones are ignored.
-  void NoteReport(const BackendServerId& peer, const wire::CrashReport& report);
+  void RecordReport(const BackendServerId& peer, const wire::CrashReport& report);
 
  private:
-  bool IsNew(const BackendServerId& peer, const wire::CrashReport& report);
+  bool IsNewReport(const BackendServerId& peer, const wire::CrashReport& report);
   static void LogBanned(std::span<const std::string> digests);
 
-  const bool m_is_on;
+  const bool m_enabled;
   mutable std::mutex m_lock;
   CrashGuard m_guard;
   AbortedCalls m_aborted;
--- a/src/libs/calls/sharedrouter.cpp
+++ b/src/libs/calls/sharedrouter.cpp
@@ -22,7 +22,7 @@
   m_router.SetReachable(server, reachable, MonotonicNow());
 }
 
-void SharedRouter::NoteState(const BackendServerId& server, const wire::OwnerState& state) {
+void SharedRouter::RecordOwnerState(const BackendServerId& server, const wire::OwnerState& state) {
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
   m_clocks.Note(server, Incarnation{state.incarnation()}, state.clock_us(), now);
@@ -37,20 +37,21 @@
   m_router.NoteLoad(server, load, now);
 }
 
-void SharedRouter::NoteSent(const BackendServerId& server, CallId attempt,
-                            std::size_t priority_index) {
+void SharedRouter::RecordSent(const BackendServerId& server, CallId attempt,
+                              std::size_t priority_index) {
   const std::lock_guard lock(m_lock);
   ++m_outstanding[server];
   m_router.NoteSent(server, attempt, priority_index, MonotonicNow());
 }
 
-void SharedRouter::NoteEnded(const BackendServerId& server, CallId attempt, AttemptResult result) {
+void SharedRouter::RecordEnded(const BackendServerId& server, CallId attempt,
+                               AttemptResult result) {
   const std::lock_guard lock(m_lock);
   --m_outstanding[server];
   m_router.NoteEnded(server, attempt, result, MonotonicNow());
 }
 
-void SharedRouter::NotePaidLinkBytes(std::size_t bytes) {
+void SharedRouter::RecordPaidLinkBytes(std::size_t bytes) {
   const std::lock_guard lock(m_lock);
   m_router.NotePaidLinkBytes(bytes, MonotonicNow());
 }
@@ -66,7 +67,7 @@
   return m_router.SubsetOf(service);
 }
 
-std::set<ServiceId> SharedRouter::TakeUsedServices() {
+std::set<ServiceId> SharedRouter::PopUsedServices() {
   const std::lock_guard lock(m_lock);
   return std::exchange(m_used, {});
 }
@@ -75,17 +76,18 @@
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
   m_used.insert(request.service);
-  if (m_gate != nullptr && !m_gate->IsOpen(now)) return RoutingChoice{Reason::kViewRefreshing, {}};
+  if (m_view_gate != nullptr && !m_view_gate->IsOpen(now))
+    return RoutingChoice{Reason::kViewRefreshing, {}};
   return m_router.Choose(request, now);
 }
 
-std::vector<BackendServerId> SharedRouter::ServersToAsk(const RoutingRequest& request,
-                                                        std::size_t most) {
+std::vector<BackendServerId> SharedRouter::ServersToQuery(const RoutingRequest& request,
+                                                          std::size_t max_servers) {
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
   m_used.insert(request.service);
-  if (m_gate != nullptr && !m_gate->IsOpen(now)) return {};
-  return m_router.ServersToAsk(request, most, now);
+  if (m_view_gate != nullptr && !m_view_gate->IsOpen(now)) return {};
+  return m_router.ServersToAsk(request, max_servers, now);
 }
 
 RoutingChoice SharedRouter::ChooseAmong(const RoutingRequest& request,
--- a/src/libs/calls/sharedrouter.h
+++ b/src/libs/calls/sharedrouter.h
@@ -29,28 +29,29 @@
   void SetReachable(const BackendServerId& server, bool reachable);
 
   // Notes what an owner says of itself.
-  void NoteState(const BackendServerId& server, const wire::OwnerState& state);
+  void RecordOwnerState(const BackendServerId& server, const wire::OwnerState& state);
 
-  void NoteSent(const BackendServerId& server, CallId attempt, std::size_t priority_index);
-  void NoteEnded(const BackendServerId& server, CallId attempt, AttemptResult result);
+  void RecordSent(const BackendServerId& server, CallId attempt, std::size_t priority_index);
+  void RecordEnded(const BackendServerId& server, CallId attempt, AttemptResult result);
 
   // Attempts sent to the server that have not ended.
   std::size_t Outstanding(const BackendServerId& server) const;
 
   // Notes bytes of an answer from another region.
-  void NotePaidLinkBytes(std::size_t bytes);
+  void RecordPaidLinkBytes(std::size_t bytes);
 
   // No server is chosen while the gate is closed. Must be called before the first choice.
-  void SetViewGate(const ViewGate* gate) { m_gate = gate; }
+  void SetViewGate(const ViewGate* gate) { m_view_gate = gate; }
 
   // The services for which a server was asked since the last call of this.
-  std::set<ServiceId> TakeUsedServices();
+  std::set<ServiceId> PopUsedServices();
 
   // The servers of a service that this node uses, nearest tier first.
   std::vector<BackendServerId> SubsetOf(const ServiceId& service) const;
 
   RoutingChoice Choose(const RoutingRequest& request);
-  std::vector<BackendServerId> ServersToAsk(const RoutingRequest& request, std::size_t most);
+  std::vector<BackendServerId> ServersToQuery(const RoutingRequest& request,
+                                              std::size_t max_servers);
   RoutingChoice ChooseAmong(const RoutingRequest& request, std::span<const LoadOffer> offers);
   std::optional<ExpiryStamp> Stamp(const BackendServerId& server, Duration remaining) const;
 
@@ -60,7 +61,7 @@
   OwnerClocks m_clocks;
   std::map<BackendServerId, std::size_t> m_outstanding;
   std::set<ServiceId> m_used;
-  const ViewGate* m_gate = nullptr;
+  const ViewGate* m_view_gate = nullptr;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/calls/viewgate.h
+++ b/src/libs/calls/viewgate.h
@@ -16,15 +16,15 @@
   bool IsOpen(TimePoint now) const {
     const Duration::rep last = m_last_tick.load();
     if (last == 0) return true;  // Not started yet.
-    return !m_refreshing.load() && now.time_since_epoch().count() - last <= kPause.count();
+    return !m_refreshing.load() && now.time_since_epoch().count() - last <= kMaxTickAge.count();
   }
 
   // Notes a tick of the main thread. Returns true if the process was paused since the last one; the
   // gate then stays closed until Open.
-  bool NoteTick(TimePoint now) {
+  bool OnTick(TimePoint now) {
     const Duration::rep time = now.time_since_epoch().count();
     const Duration::rep last = m_last_tick.load();
-    const bool was_paused = last != 0 && time - last > kPause.count();
+    const bool was_paused = last != 0 && time - last > kMaxTickAge.count();
     if (was_paused) m_refreshing.store(true);
     m_last_tick.store(time);
     return was_paused;
@@ -34,7 +34,7 @@
   bool IsRefreshing() const { return m_refreshing.load(); }
 
  private:
-  static constexpr Duration kPause{kPauseThreshold};
+  static constexpr Duration kMaxTickAge{kPauseThreshold};
 
   std::atomic<Duration::rep> m_last_tick{0};
   std::atomic<bool> m_refreshing{false};
--- a/src/libs/control/controlservice.cpp
+++ b/src/libs/control/controlservice.cpp
@@ -204,7 +204,7 @@
   TickPause(now);
   TickDrain(now);
   if (m_fresh) TickFreshStart(now);
-  for (const ServiceId& service : m_context.router.TakeUsedServices()) {
+  for (const ServiceId& service : m_context.router.PopUsedServices()) {
     const std::vector<ServiceId> used = m_link_plan.UsedServices(now);
     const bool is_new = std::find(used.begin(), used.end(), service) == used.end();
     m_link_plan.NoteUse(service, now);
@@ -335,7 +335,7 @@
 }
 
 void ControlService::TickDrain(TimePoint now) {
-  if (const std::optional<bool> header = m_context.owner.TakeDrainHeader()) {
+  if (const std::optional<bool> header = m_context.owner.PopDrainHeader()) {
     m_drain.NoteHeader(*header, now);
     m_probe.NoteTold(now);
   }
@@ -348,14 +348,14 @@
   if (is_draining == m_announced_draining) return;
   m_announced_draining = is_draining;
   const wire::OwnerState state = m_context.owner.State();
-  m_context.router.NoteState(m_self.id, state);
+  m_context.router.RecordOwnerState(m_self.id, state);
   m_membership.NoteStatement(StatementFrom(m_self.id, state));
   m_view_changed = true;
   m_announce = true;
 }
 
 void ControlService::TickPause(TimePoint now) {
-  if (m_context.gate.NoteTick(now)) StartRefresh(now);
+  if (m_context.gate.OnTick(now)) StartRefresh(now);
   if (!m_context.gate.IsRefreshing()) return;
   const FetchPlan& plan = m_configuration_sync.Plan();
   const bool is_behind = plan.HighestKnown() > plan.Held();
--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -94,7 +94,7 @@
   call.body_bytes = body_bytes;
   call.started = MonotonicNow();
   call.log_id = LogIdOf(call.request, m_context.convention);
-  m_log.NoteRequest(call.started);
+  m_log.RecordRequest(call.started);
   const std::shared_ptr<const Declaration> declaration = m_context.declaration.load();
   if (!declaration) return AnswerReason(exchange, Reason::kNoConfiguration);
   Classification classification =
@@ -116,10 +116,10 @@
       .With("priority", call.call_class.priority.Value())
       .With("deadline_ms", ToMilliseconds(call.call_class.deadline))
       .With("version", static_cast<std::int64_t>(m_context.version.load()));
-  StampOrigin(call.request, m_context.convention, m_context.own_service);
+  ReplaceOriginHeaders(call.request, m_context.convention, m_context.own_service);
   call.deadline = call.started + call.call_class.deadline;
-  call.digest = DigestOf(call.call_class.service, call.request);
-  if (const Reason reason = m_context.crash_guard.Check(call.digest); reason != Reason::kNone) {
+  call.digest = RequestDigest(call.call_class.service, call.request);
+  if (const Reason reason = m_context.crash_guard.CheckBan(call.digest); reason != Reason::kNone) {
     return AnswerReason(exchange, reason);
   }
   m_budgets = declaration->budgets;
@@ -152,7 +152,7 @@
   const bool may_ask = m_context.convention.decode_load != nullptr &&
                        call.call_class.request_id.empty() && call.attempts.empty();
   if (!may_ask) return false;
-  const std::vector<BackendServerId> servers = m_context.router.ServersToAsk(
+  const std::vector<BackendServerId> servers = m_context.router.ServersToQuery(
       RequestOf(call, call.call_class.may_cross_regions), kServersAsked);
   if (servers.empty()) return false;
   call.question = m_next_attempt++ * m_count + m_index;
@@ -174,7 +174,7 @@
 }
 
 void IngressShard::HandleLoadAnswer(const BackendServerId& owner, const wire::LoadAnswer& answer) {
-  m_context.router.NoteState(owner, answer.state());
+  m_context.router.RecordOwnerState(owner, answer.state());
   const auto found = m_questions.find(answer.call_id());
   if (found == m_questions.end()) return;
   const ExchangeId exchange = found->second;
@@ -234,7 +234,7 @@
   call.request_id_not_run = false;
   call.tried.push_back(server);
   wire::Envelope message =
-      CallRequestFor(NameOf(id, attempt), server, call.call_class, call.digest, call.request);
+      MakeCallRequest(NameOf(id, attempt), server, call.call_class, call.digest, call.request);
   if (!call.call_class.route.IsEmpty()) {
     // Both ends are on the owner's clock.
     const Duration after_target = call.deadline - (call.started + call.call_class.target);
@@ -242,7 +242,7 @@
     message.mutable_call_request()->set_target_at_us(
         static_cast<std::uint64_t>(std::max<std::int64_t>(target, 1)));
   }
-  m_context.router.NoteSent(server, id, call.call_class.priority_index);
+  m_context.router.RecordSent(server, id, call.call_class.priority_index);
   m_log.Step("sent", call.log_id)
       .With("server", server.Value())
       .With("attempt", static_cast<std::int64_t>(id.value))
@@ -259,27 +259,27 @@
   switch (message.body_case()) {
     case wire::Envelope::kResponseChunk:
       if (message.response_chunk().has_state()) {
-        m_context.router.NoteState(owner, message.response_chunk().state());
+        m_context.router.RecordOwnerState(owner, message.response_chunk().state());
       }
       return HandleChunk(message.response_chunk());
     case wire::Envelope::kRefused:
-      m_context.router.NoteState(owner, message.refused().state());
+      m_context.router.RecordOwnerState(owner, message.refused().state());
       if (message.refused().request_id_not_run()) {
         NoteRequestIdNotRun(CallId{message.refused().call_id()});
       }
       return HandleNotRun(CallId{message.refused().call_id()},
                           static_cast<Reason>(message.refused().reason()));
     case wire::Envelope::kCallFailed:
-      m_context.router.NoteState(owner, message.call_failed().state());
+      m_context.router.RecordOwnerState(owner, message.call_failed().state());
       return HandleUnknown(CallId{message.call_failed().call_id()},
                            static_cast<Reason>(message.call_failed().reason()));
     case wire::Envelope::kLoadAnswer:
       return HandleLoadAnswer(owner, message.load_answer());
     case wire::Envelope::kStatusResult:
-      m_context.router.NoteState(owner, message.status_result().state());
+      m_context.router.RecordOwnerState(owner, message.status_result().state());
       return HandleStatus(message.status_result());
     case wire::Envelope::kCancelResult:
-      m_context.router.NoteState(owner, message.cancel_result().state());
+      m_context.router.RecordOwnerState(owner, message.cancel_result().state());
       return HandleCancelResult(message.cancel_result());
     default:
       return;
@@ -293,7 +293,7 @@
   CancelOthers(call, id);
   m_connections.at(attempt.exchange.connection)
       ->StartAnswer(attempt.exchange.number,
-                    AnsweredHead(head, m_context.convention, attempt.server.Value()));
+                    MakeAnswerHead(head, m_context.convention, attempt.server.Value()));
   return true;
 }
 
@@ -322,7 +322,7 @@
   if (!chunk.last()) return;
   PendingCall& call = m_calls.at(exchange);
   m_context.metrics.Add(Metric::kCallsAnswered);
-  m_context.crash_guard.NoteAnswered(call.digest);
+  m_context.crash_guard.RecordAnswered(call.digest);
   m_context.metrics.RecordLatency(call.call_class.priority, MonotonicNow() - call.started);
   m_log.Step("answered", call.log_id)
       .With("server", attempt->server.Value())
@@ -336,7 +336,7 @@
 
 void IngressShard::NotePaidLinkBytes(std::size_t bytes) {
   m_context.metrics.Add(Metric::kCallPaidLinkBytes, bytes);
-  m_context.router.NotePaidLinkBytes(bytes);
+  m_context.router.RecordPaidLinkBytes(bytes);
 }
 
 void IngressShard::AllowReturn(PendingCall& call, const BackendServerId& server, Reason reason) {
@@ -459,7 +459,7 @@
 void IngressShard::HandleLinkUp(const BackendServerId& owner) {
   for (const auto& [id, attempt] : m_attempts) {
     if (attempt.server != owner || !attempt.in_doubt) continue;
-    m_context.messenger.Send(owner, StatusQueryFor(NameOf(id, attempt), attempt.next_sequence));
+    m_context.messenger.Send(owner, MakeStatusQuery(NameOf(id, attempt), attempt.next_sequence));
   }
 }
 
@@ -487,14 +487,14 @@
   const CallId id{cancelled.call_id()};
   const Attempt* attempt = FindAttempt(id);
   if (attempt == nullptr) return;
-  switch (ProofOf(cancelled.call_state(), cancelled.state(), attempt->expiry)) {
-    case Proof::kNotRun:
+  switch (AttemptStatusFrom(cancelled.call_state(), cancelled.state(), attempt->expiry)) {
+    case AttemptStatus::kNotRun:
       return HandleNotRun(id, Reason::kQueueExpired);
-    case Proof::kPending:
+    case AttemptStatus::kPending:
       return HandleUnknown(id, Reason::kBackendTimeout);
-    case Proof::kDone:
+    case AttemptStatus::kDone:
       return;  // Its answer or failure is on the way.
-    case Proof::kNone:
+    case AttemptStatus::kUnknown:
       return HandleUnknown(id, Reason::kOwnerRestarted);
   }
 }
@@ -502,7 +502,7 @@
 void IngressShard::EndAttempt(CallId id, AttemptResult result) {
   const auto found = m_attempts.find(id);
   if (found == m_attempts.end()) return;
-  m_context.router.NoteEnded(found->second.server, id, result);
+  m_context.router.RecordEnded(found->second.server, id, result);
   std::erase(m_calls.at(found->second.exchange).attempts, id);
   m_attempts.erase(found);
 }
@@ -514,13 +514,13 @@
   for (const CallId id : attempts) {
     if (id == kept) continue;
     const Attempt& attempt = m_attempts.at(id);
-    m_context.messenger.Send(attempt.server, CancelFor(NameOf(id, attempt)));
+    m_context.messenger.Send(attempt.server, MakeCancel(NameOf(id, attempt)));
     EndAttempt(id, AttemptResult::kCancelled);
   }
 }
 
-AttemptName IngressShard::NameOf(CallId id, const Attempt& attempt) const {
-  return AttemptName{id, m_context.identity.incarnation, attempt.expiry};
+AttemptKey IngressShard::NameOf(CallId id, const Attempt& attempt) const {
+  return AttemptKey{id, m_context.identity.incarnation, attempt.expiry};
 }
 
 Reason IngressShard::ProvedReason(const PendingCall& call, Reason reason) {
@@ -556,8 +556,8 @@
     EndCall(exchange);
   }
   m_context.metrics.CountRefusal(reason);
-  const ReasonAnswer answer =
-      AnswerFor(reason, outcome, m_context.convention, AdviseReturn(m_random));
+  const GeneratedAnswer answer =
+      GenerateAnswer(reason, outcome, m_context.convention, AdviseReturn(m_random));
   m_log.Failure("call_failed", log_id, reason)
       .With("outcome", OutcomeName(outcome))
       .With("status", answer.head.status)
@@ -701,7 +701,7 @@
   call.asked_at_deadline = true;
   for (const CallId id : call.attempts) {
     const Attempt& attempt = m_attempts.at(id);
-    m_context.messenger.Send(attempt.server, CancelFor(NameOf(id, attempt)));
+    m_context.messenger.Send(attempt.server, MakeCancel(NameOf(id, attempt)));
   }
 }
 
--- a/src/libs/ingress/ingressshard.h
+++ b/src/libs/ingress/ingressshard.h
@@ -154,7 +154,7 @@
   // A request with an id goes to its home, any other to where the router sends it.
   RoutingChoice Choose(const PendingCall& call, bool may_cross_regions);
   static RoutingRequest RequestOf(const PendingCall& call, bool may_cross_regions);
-  AttemptName NameOf(CallId id, const Attempt& attempt) const;
+  AttemptKey NameOf(CallId id, const Attempt& attempt) const;
   void EndAttempt(CallId attempt, AttemptResult result);
   void CancelAttempts(PendingCall& call);
   void CancelOthers(PendingCall& call, CallId kept);
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -121,7 +121,7 @@
   m_router.SetDeclaration(declaration);
   m_owner.ApplyDeclaration(declaration, version);
   if (m_load_probe) m_load_probe->Configure(*declaration, m_identity.server);
-  m_router.NoteState(m_identity.server, m_owner.State());
+  m_router.RecordOwnerState(m_identity.server, m_owner.State());
   m_router.SetReachable(m_identity.server, true);
   EventLine(LogPart::kConfiguration, LogLevel::kInfo, "in_force")
       .With("version", static_cast<std::int64_t>(version))
@@ -147,7 +147,8 @@
   const Result<Endpoint> endpoint = ParseEndpoint(server->address);
   if (!endpoint) return;
   m_crash_reporter.Tick(
-      endpoint.value(), [this](TimePoint before) { return m_owner.RunsCallFrom(before); },
+      endpoint.value(),
+      [this](TimePoint before) { return m_owner.HasRunningCallDispatchedBefore(before); },
       [this] {
         const std::lock_guard lock(m_peers_lock);
         return std::vector<BackendServerId>(m_linked_peers.begin(), m_linked_peers.end());
@@ -202,8 +203,8 @@
 }
 
 void Node::OnLinkUp(const BackendServerId& peer, const wire::OwnerState& state) {
-  m_router.NoteState(peer, state);
-  m_owner.NotePeerState(peer, state);
+  m_router.RecordOwnerState(peer, state);
+  m_owner.RecordPeerState(peer, state);
   m_router.SetReachable(peer, true);
   {
     const std::lock_guard lock(m_peers_lock);
@@ -238,13 +239,13 @@
       m_owner.HandleMessage(route, std::move(message));
       return;
     case wire::Envelope::kPong:
-      m_router.NoteState(route.peer, message.pong().state());
-      m_owner.NotePeerState(route.peer, message.pong().state());
+      m_router.RecordOwnerState(route.peer, message.pong().state());
+      m_owner.RecordPeerState(route.peer, message.pong().state());
       m_control->NoteState(route.peer, message.pong().state());
       return;
     case wire::Envelope::kGossip:
       for (const wire::CrashReport& report : message.gossip().crash_reports()) {
-        m_crash_guard.NoteReport(route.peer, report);
+        m_crash_guard.RecordReport(route.peer, report);
       }
       // Crash reports are sent alone.
       if (message.gossip().crash_reports_size() == 0) {
--- a/src/libs/owner/backendpool.cpp
+++ b/src/libs/owner/backendpool.cpp
@@ -12,8 +12,8 @@
 // An idle connection may be closed by the server just when a request is sent on it, which leaves
 // the outcome unknown. A request that must not run twice therefore uses only a connection that was
 // used just before.
-constexpr std::chrono::milliseconds kFreshIdle{1000};
-constexpr std::chrono::milliseconds kLongestIdle{30000};
+constexpr std::chrono::milliseconds kMaxIdleNotIdempotent{1000};
+constexpr std::chrono::milliseconds kMaxIdle{30000};
 // The server counts from when it sent its answer, and the next request needs some time to arrive.
 constexpr std::chrono::milliseconds kKeepAliveMargin{500};
 
@@ -22,7 +22,7 @@
 // The connections of one worker thread. All members run on that thread.
 class BackendPool::Shard : public BackendEvents {
  public:
-  explicit Shard(BackendAnswers& answers) : m_answers(answers) {}
+  explicit Shard(BackendAnswerHandler& handler) : m_handler(handler) {}
 
   void SetServer(const Endpoint& server) {
     if (server == m_server) return;
@@ -30,85 +30,86 @@
     m_idle.clear();
   }
 
-  void Run(OwnedCallId call, const BackendRequest& request) {
-    const ConnectionId id = TakeConnection(request.idempotent);
-    m_calls[id] = call;
-    m_connection_of[call] = id;
+  void SendRequest(OwnedCallId call, const BackendRequest& request) {
+    const ConnectionId id = AcquireConnection(request.idempotent);
+    m_call_by_connection[id] = call;
+    m_connection_by_call[call] = id;
     m_connections.at(id)->Send(request.request, request.credit, request.timeout, request.check);
   }
 
   void AddCredit(OwnedCallId call, std::size_t bytes) {
-    const auto found = m_connection_of.find(call);
-    if (found != m_connection_of.end()) m_connections.at(found->second)->AddCredit(bytes);
+    const auto found = m_connection_by_call.find(call);
+    if (found != m_connection_by_call.end()) m_connections.at(found->second)->AddCredit(bytes);
   }
 
   void Cancel(OwnedCallId call) {
-    const auto found = m_connection_of.find(call);
-    if (found == m_connection_of.end()) return;
+    const auto found = m_connection_by_call.find(call);
+    if (found == m_connection_by_call.end()) return;
     const ConnectionId id = found->second;
     m_connections.at(id)->Abort();
-    Forget(id);
-    Drop(id);
+    RemoveCall(id);
+    DiscardConnection(id);
   }
 
   void Clear() {
     m_idle.clear();
-    m_calls.clear();
-    m_connection_of.clear();
+    m_call_by_connection.clear();
+    m_connection_by_call.clear();
     m_connections.clear();
   }
 
   void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) override {
-    if (!part.last) return m_answers.OnAnswerPart(m_calls.at(connection), std::move(part));
-    const OwnedCallId call = Forget(connection);
+    if (!part.last)
+      return m_handler.OnAnswerPart(m_call_by_connection.at(connection), std::move(part));
+    const OwnedCallId call = RemoveCall(connection);
     if (reusable) {
       m_idle.push_back(connection);
     } else {
-      Drop(connection);
+      DiscardConnection(connection);
     }
-    m_answers.OnAnswerPart(call, std::move(part));
+    m_handler.OnAnswerPart(call, std::move(part));
   }
 
   void OnBackendFailed(ConnectionId connection, Reason reason, bool may_have_run) override {
-    const OwnedCallId call = Forget(connection);
-    Drop(connection);
-    m_answers.OnAnswerFailed(call, reason, may_have_run);
+    const OwnedCallId call = RemoveCall(connection);
+    DiscardConnection(connection);
+    m_handler.OnAnswerFailed(call, reason, may_have_run);
   }
 
   void OnBackendIdleClosed(ConnectionId connection) override {
     std::erase(m_idle, connection);
-    Drop(connection);
+    DiscardConnection(connection);
   }
 
  private:
-  ConnectionId TakeConnection(bool idempotent) {
+  ConnectionId AcquireConnection(bool idempotent) {
     const TimePoint now = MonotonicNow();
     while (!m_idle.empty()) {
       const ConnectionId id = m_idle.back();  // The one used last.
       m_idle.pop_back();
       const BackendConnection& connection = *m_connections.at(id);
       const Duration idle = now - connection.IdleSince();
-      Duration longest = idempotent ? Duration(kLongestIdle) : Duration(kFreshIdle);
+      Duration max_idle = idempotent ? Duration(kMaxIdle) : Duration(kMaxIdleNotIdempotent);
       if (const std::optional<Duration> kept = connection.KeptIdleFor()) {
-        longest = std::min<Duration>(longest, *kept - kKeepAliveMargin);
+        max_idle = std::min<Duration>(max_idle, *kept - kKeepAliveMargin);
       }
-      if (idle < longest) return id;
-      Drop(id);
+      if (idle < max_idle) return id;
+      DiscardConnection(id);
     }
     const ConnectionId id{m_next_connection++};
     m_connections.emplace(id, std::make_unique<BackendConnection>(id, m_server, *this));
     return id;
   }
 
-  OwnedCallId Forget(ConnectionId connection) {
-    const OwnedCallId call = m_calls.at(connection);
-    m_calls.erase(connection);
-    m_connection_of.erase(call);
+  OwnedCallId RemoveCall(ConnectionId connection) {
+    const OwnedCallId call = m_call_by_connection.at(connection);
+    m_call_by_connection.erase(connection);
+    m_connection_by_call.erase(call);
     return call;
   }
 
   // The connection may be the sender of the present event, so it is deleted later.
-  void Drop(ConnectionId connection) {
+  void DiscardConnection(ConnectionId connection) {
     const auto found = m_connections.find(connection);
     if (found == m_connections.end()) return;
     found->second->Abort();
@@ -116,49 +117,52 @@
     m_connections.erase(found);
   }
 
-  BackendAnswers& m_answers;
+  BackendAnswerHandler& m_handler;
   Endpoint m_server;
   std::uint64_t m_next_connection = 1;
   std::unordered_map<ConnectionId, std::unique_ptr<BackendConnection>> m_connections;
-  std::unordered_map<ConnectionId, OwnedCallId> m_calls;
-  std::unordered_map<OwnedCallId, ConnectionId> m_connection_of;
+  std::unordered_map<ConnectionId, OwnedCallId> m_call_by_connection;
+  std::unordered_map<OwnedCallId, ConnectionId> m_connection_by_call;
   std::vector<ConnectionId> m_idle;  // The one used last is at the end.
 };
 
 BackendPool::BackendPool(std::span<const std::unique_ptr<EventThread>> workers,
-                         BackendAnswers& answers) {
+                         BackendAnswerHandler& handler) {
   for (const std::unique_ptr<EventThread>& worker : workers) {
-    m_slots.push_back(Slot{worker.get(), std::make_unique<Shard>(answers)});
+    m_worker_shards.push_back(WorkerShard{worker.get(), std::make_unique<Shard>(handler)});
   }
 }
 
 BackendPool::~BackendPool() = default;
 
 void BackendPool::SetServer(const Endpoint& server) {
-  for (Slot& slot : m_slots) {
-    slot.thread->Post([shard = slot.shard.get(), server] { shard->SetServer(server); });
+  for (WorkerShard& worker_shard : m_worker_shards) {
+    worker_shard.thread->Post(
+        [shard = worker_shard.shard.get(), server] { shard->SetServer(server); });
   }
 }
 
-void BackendPool::Run(OwnedCallId call, BackendRequest request) {
-  Slot& slot = SlotOf(call);
+void BackendPool::SendRequest(OwnedCallId call, BackendRequest request) {
+  WorkerShard& worker_shard = ShardOf(call);
   auto shared = std::make_shared<BackendRequest>(std::move(request));
-  slot.thread->Post([shard = slot.shard.get(), call, shared] { shard->Run(call, *shared); });
+  worker_shard.thread->Post(
+      [shard = worker_shard.shard.get(), call, shared] { shard->SendRequest(call, *shared); });
 }
 
 void BackendPool::AddCredit(OwnedCallId call, std::size_t bytes) {
-  Slot& slot = SlotOf(call);
-  slot.thread->Post([shard = slot.shard.get(), call, bytes] { shard->AddCredit(call, bytes); });
+  WorkerShard& worker_shard = ShardOf(call);
+  worker_shard.thread->Post(
+      [shard = worker_shard.shard.get(), call, bytes] { shard->AddCredit(call, bytes); });
 }
 
 void BackendPool::Cancel(OwnedCallId call) {
-  Slot& slot = SlotOf(call);
-  slot.thread->Post([shard = slot.shard.get(), call] { shard->Cancel(call); });
+  WorkerShard& worker_shard = ShardOf(call);
+  worker_shard.thread->Post([shard = worker_shard.shard.get(), call] { shard->Cancel(call); });
 }
 
 void BackendPool::Stop() {
-  for (Slot& slot : m_slots) {
-    slot.thread->RunAndWait([shard = slot.shard.get()] { shard->Clear(); });
+  for (WorkerShard& worker_shard : m_worker_shards) {
+    worker_shard.thread->RunAndWait([shard = worker_shard.shard.get()] { shard->Clear(); });
   }
 }
 
--- a/src/libs/owner/backendpool.h
+++ b/src/libs/owner/backendpool.h
@@ -18,9 +18,9 @@
 
 // Gets the answers of the backend server. Members are called on worker threads, for one call always
 // on the same.
-class BackendAnswers {
+class BackendAnswerHandler {
  public:
-  virtual ~BackendAnswers() = default;
+  virtual ~BackendAnswerHandler() = default;
 
   virtual void OnAnswerPart(OwnedCallId call, AnswerPart part) = 0;
   virtual void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) = 0;
@@ -39,7 +39,7 @@
 // from any thread.
 class BackendPool {
  public:
-  BackendPool(std::span<const std::unique_ptr<EventThread>> workers, BackendAnswers& answers);
+  BackendPool(std::span<const std::unique_ptr<EventThread>> workers, BackendAnswerHandler& handler);
   ~BackendPool();
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
@@ -47,7 +47,7 @@
   // Connects to another address from now on.
   void SetServer(const Endpoint& server);
 
-  void Run(OwnedCallId call, BackendRequest request);
+  void SendRequest(OwnedCallId call, BackendRequest request);
   void AddCredit(OwnedCallId call, std::size_t bytes);
 
   // Closes the call's connection; no more answers are reported for it.
@@ -58,14 +58,16 @@
 
  private:
   class Shard;
-  struct Slot {
+  struct WorkerShard {
     EventThread* thread;
     std::unique_ptr<Shard> shard;
   };
 
-  Slot& SlotOf(OwnedCallId call) { return m_slots[call.value % m_slots.size()]; }
+  WorkerShard& ShardOf(OwnedCallId call) {
+    return m_worker_shards[call.value % m_worker_shards.size()];
+  }
 
-  std::vector<Slot> m_slots;
+  std::vector<WorkerShard> m_worker_shards;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/owner/claimservice.cpp
+++ b/src/libs/owner/claimservice.cpp
@@ -22,8 +22,8 @@
   m_registry.SetInventory(members, version, wall);
 }
 
-void ClaimService::NotePeerState(const BackendServerId& peer, const wire::OwnerState& state,
-                                 WallTime wall) {
+void ClaimService::RecordPeerState(const BackendServerId& peer, const wire::OwnerState& state,
+                                   WallTime wall) {
   m_registry.NoteVersion(peer, Incarnation{state.incarnation()}, state.configuration_version(),
                          wall);
 }
@@ -40,8 +40,8 @@
   claim.is_accepted = decision.kind == RequestDecision::Kind::kAccept;
   if (claim.is_accepted) return decision;
   claim.query = m_next_query++;
-  claim.awaited = {decision.ask.begin(), decision.ask.end()};
-  claim.give_up_at = now + kReleaseTimeout;
+  claim.awaited_peers = {decision.ask.begin(), decision.ask.end()};
+  claim.timeout_at = now + kReleaseTimeout;
   m_queries[claim.query] = call;
   for (const BackendServerId& server : decision.ask) {
     wire::Envelope message;
@@ -64,32 +64,32 @@
   m_messenger.Reply(route, std::move(message));
 }
 
-std::vector<SettledClaim> ClaimService::HandleReleased(const BackendServerId& peer,
-                                                       const wire::ClaimReleased& released,
-                                                       WallTime wall) {
-  NotePeerState(peer, released.state(), wall);
+std::vector<ClaimResult> ClaimService::HandleReleased(const BackendServerId& peer,
+                                                      const wire::ClaimReleased& released,
+                                                      WallTime wall) {
+  RecordPeerState(peer, released.state(), wall);
   const auto query = m_queries.find(released.query_id());
   if (query == m_queries.end()) return {};
   if (!released.released()) {
     const auto reason = released.reason() < static_cast<std::uint32_t>(Reason::kCount)
                             ? static_cast<Reason>(released.reason())
                             : Reason::kAlreadyRunning;
-    return {Settle(query, reason)};
+    return {ResolveQuery(query, reason)};
   }
   Claim& claim = m_claims.at(query->second);
-  claim.awaited.erase(peer);
-  if (!claim.awaited.empty()) return {};
-  return {Settle(query, Reason::kNone)};
+  claim.awaited_peers.erase(peer);
+  if (!claim.awaited_peers.empty()) return {};
+  return {ResolveQuery(query, Reason::kNone)};
 }
 
-std::vector<SettledClaim> ClaimService::HandleSendFailed(const wire::ClaimRelease& release) {
+std::vector<ClaimResult> ClaimService::HandleSendFailed(const wire::ClaimRelease& release) {
   const auto query = m_queries.find(release.query_id());
   if (query == m_queries.end()) return {};
-  return {Settle(query, Reason::kHomeUnreachable)};
+  return {ResolveQuery(query, Reason::kHomeUnreachable)};
 }
 
-SettledClaim ClaimService::Settle(std::map<std::uint64_t, OwnedCallId>::iterator query,
-                                  Reason refusal) {
+ClaimResult ClaimService::ResolveQuery(std::map<std::uint64_t, OwnedCallId>::iterator query,
+                                       Reason refusal) {
   const OwnedCallId call = query->second;
   m_queries.erase(query);
   m_claims.at(call).query = 0;
@@ -97,17 +97,17 @@
   return {call, refusal};
 }
 
-std::vector<SettledClaim> ClaimService::Tick(TimePoint now, WallTime wall) {
-  std::vector<SettledClaim> settled;
+std::vector<ClaimResult> ClaimService::Tick(TimePoint now, WallTime wall) {
+  std::vector<ClaimResult> results;
   // Queries are numbered in the order in which they time out.
-  while (!m_queries.empty() && m_claims.at(m_queries.begin()->second).give_up_at <= now) {
-    settled.push_back(Settle(m_queries.begin(), Reason::kHomeUnreachable));
+  while (!m_queries.empty() && m_claims.at(m_queries.begin()->second).timeout_at <= now) {
+    results.push_back(ResolveQuery(m_queries.begin(), Reason::kHomeUnreachable));
   }
   if (now >= m_next_sweep) {
     m_next_sweep = now + kSweepInterval;
     m_registry.Sweep(m_absent_since, wall);
   }
-  return settled;
+  return results;
 }
 
 bool ClaimService::IsAccepted(OwnedCallId call) const {
@@ -115,7 +115,7 @@
   return found != m_claims.end() && found->second.is_accepted;
 }
 
-void ClaimService::NoteChunk(OwnedCallId call, const wire::ResponseChunk& chunk) {
+void ClaimService::RecordChunk(OwnedCallId call, const wire::ResponseChunk& chunk) {
   const auto found = m_claims.find(call);
   if (found == m_claims.end()) return;
   KeptRequestAnswer& answer = found->second.answer;
@@ -125,18 +125,18 @@
   answer.body.append(chunk.data(), 0, m_limits.answer_bytes + 1);
 }
 
-void ClaimService::End(OwnedCallId call, ClaimEnd end, Reason reason) {
+void ClaimService::RecordOutcome(OwnedCallId call, ClaimOutcome end, Reason reason) {
   const auto found = m_claims.find(call);
   if (found == m_claims.end()) return;
   Claim claim = std::move(found->second);
   m_claims.erase(found);
   m_queries.erase(claim.query);
   switch (end) {
-    case ClaimEnd::kNotRun:
+    case ClaimOutcome::kNotRun:
       return m_registry.NoteNotRun(claim.request_id);
-    case ClaimEnd::kRan:
+    case ClaimOutcome::kRan:
       return m_registry.NoteRan(claim.request_id, std::move(claim.answer));
-    case ClaimEnd::kMayHaveRun:
+    case ClaimOutcome::kMayHaveRun:
       return m_registry.NoteUnknown(claim.request_id, reason);
   }
 }
--- a/src/libs/owner/claimservice.h
+++ b/src/libs/owner/claimservice.h
@@ -17,13 +17,13 @@
 namespace damaskhollow {
 
 // A call that waited for other servers and may now run, or is refused.
-struct SettledClaim {
+struct ClaimResult {
   OwnedCallId call;
   Reason refusal = Reason::kNone;
 };
 
 // How a call with a request id ended.
-enum class ClaimEnd {
+enum class ClaimOutcome {
   kNotRun,
   kRan,
   kMayHaveRun,
@@ -44,10 +44,10 @@
                     WallTime wall);
 
   // Notes what another owner says of itself.
-  void NotePeerState(const BackendServerId& peer, const wire::OwnerState& state, WallTime wall);
+  void RecordPeerState(const BackendServerId& peer, const wire::OwnerState& state, WallTime wall);
 
-  // Decides about a call with a request id. After kAsk the call is named by a SettledClaim. After
-  // kAccept and kAsk its end is to be reported by End.
+  // Decides about a call with a request id. After kAsk the call is named by a ClaimResult. After
+  // kAccept and kAsk its end is to be reported by RecordOutcome.
   RequestDecision Start(OwnedCallId call, const std::string& request_id, std::string_view digest,
                         TimePoint now, WallTime wall);
 
@@ -55,35 +55,35 @@
   bool IsAccepted(OwnedCallId call) const;
 
   // Copies a part of the call's answer.
-  void NoteChunk(OwnedCallId call, const wire::ResponseChunk& chunk);
+  void RecordChunk(OwnedCallId call, const wire::ResponseChunk& chunk);
 
   // `reason` is for kMayHaveRun. Does nothing for a call without a request id.
-  void End(OwnedCallId call, ClaimEnd end, Reason reason = Reason::kNone);
+  void RecordOutcome(OwnedCallId call, ClaimOutcome end, Reason reason = Reason::kNone);
 
   // Answers another home that asks for an id. `state` is this owner's own.
   void HandleRelease(const ReplyRoute& route, const wire::ClaimRelease& release,
                      const wire::OwnerState& state, WallTime wall);
 
-  std::vector<SettledClaim> HandleReleased(const BackendServerId& peer,
-                                           const wire::ClaimReleased& released, WallTime wall);
+  std::vector<ClaimResult> HandleReleased(const BackendServerId& peer,
+                                          const wire::ClaimReleased& released, WallTime wall);
 
   // A ClaimRelease was not handed to the network.
-  std::vector<SettledClaim> HandleSendFailed(const wire::ClaimRelease& release);
+  std::vector<ClaimResult> HandleSendFailed(const wire::ClaimRelease& release);
 
   // Gives up on servers that do not answer, and forgets old ids.
-  std::vector<SettledClaim> Tick(TimePoint now, WallTime wall);
+  std::vector<ClaimResult> Tick(TimePoint now, WallTime wall);
 
  private:
   struct Claim {
     std::string request_id;
     bool is_accepted = false;
     std::uint64_t query = 0;  // 0 when no answer is awaited.
-    std::set<BackendServerId> awaited;
-    TimePoint give_up_at{};
+    std::set<BackendServerId> awaited_peers;
+    TimePoint timeout_at{};
     KeptRequestAnswer answer;  // What has arrived of it, up to the limit.
   };
 
-  SettledClaim Settle(std::map<std::uint64_t, OwnedCallId>::iterator query, Reason refusal);
+  ClaimResult ResolveQuery(std::map<std::uint64_t, OwnedCallId>::iterator query, Reason refusal);
 
   Messenger& m_messenger;
   const RegistryLimits m_limits;
--- a/src/libs/owner/crashreporter.h
+++ b/src/libs/owner/crashreporter.h
@@ -22,30 +22,32 @@
 class CrashReporter {
  public:
   // Whether a call that was dispatched before the given time still runs.
-  using RunsCallFrom = std::function<bool(TimePoint)>;
+  using HasRunningCallDispatchedBefore = std::function<bool(TimePoint)>;
   using LinkedPeers = std::function<std::vector<BackendServerId>()>;
 
-  CrashReporter(BackendServerId self, Incarnation incarnation, SharedCrashGuard& guard,
+  CrashReporter(BackendServerId self, Incarnation incarnation, SharedCrashGuard& crash_guard,
                 MetricsRegistry& metrics, Messenger& messenger);
   ~CrashReporter();
 
   // To be called every few milliseconds, with the address of the backend server.
-  void Tick(const Endpoint& server, const RunsCallFrom& runs_call_from,
+  void Tick(const Endpoint& server,
+            const HasRunningCallDispatchedBefore& has_running_call_dispatched_before,
             const LinkedPeers& linked_peers);
 
  private:
   enum class Probe { kNone, kRunning, kConnected, kRefused };
 
-  void CheckAborted(const Endpoint& server, const RunsCallFrom& runs_call_from,
+  void CheckAborted(const Endpoint& server,
+                    const HasRunningCallDispatchedBefore& has_running_call_dispatched_before,
                     const LinkedPeers& linked_peers);
   void StartProbe(const Endpoint& server);
   void EndProbe(Probe result);
-  void Report(std::span<const std::string> digests, bool completed,
-              const LinkedPeers& linked_peers);
+  void SendReport(std::span<const std::string> digests, bool completed,
+                  const LinkedPeers& linked_peers);
 
   const BackendServerId m_self;
   const Incarnation m_incarnation;
-  SharedCrashGuard& m_guard;
+  SharedCrashGuard& m_crash_guard;
   MetricsRegistry& m_metrics;
   Messenger& m_messenger;
   std::unique_ptr<QTcpSocket> m_socket;
--- a/src/libs/owner/loadprobe.cpp
+++ b/src/libs/owner/loadprobe.cpp
@@ -16,7 +16,7 @@
                      OwnerService& owner)
     : m_convention(convention), m_metrics(metrics), m_owner(owner) {}
 
-LoadProbe::~LoadProbe() { Drop(); }
+LoadProbe::~LoadProbe() { DiscardConnection(); }
 
 void LoadProbe::Configure(const Declaration& declaration, const BackendServerId& self) {
   const BackendServer* server = declaration.FindServer(self);
@@ -27,7 +27,7 @@
   const Result<Endpoint> address = ParseEndpoint(server->address);
   if (!address || address.value() == m_server) return;
   m_server = address.value();
-  if (!m_is_running) Drop();
+  if (!m_is_running) DiscardConnection();
 }
 
 void LoadProbe::Request() {
@@ -37,12 +37,12 @@
 
 void LoadProbe::Start() {
   if (m_is_running) return;
-  if (m_path.empty()) return m_owner.NoteProbeFailed();
+  if (m_path.empty()) return m_owner.OnProbeFailed();
   m_metrics.Add(Metric::kProbes);
   m_is_running = true;
   m_load.clear();
   if (!m_connection || !m_connection->IsIdle()) {
-    Drop();
+    DiscardConnection();
     m_connection =
         std::make_unique<BackendConnection>(ConnectionId{m_next_connection++}, m_server, *this);
   }
@@ -57,22 +57,22 @@
   if (part.head) m_load = std::string(FindHeader(part.head->headers, m_convention.load));
   if (!part.last) return;
   m_is_running = false;
-  if (!reusable) Drop();
+  if (!reusable) DiscardConnection();
   const std::optional<ServerLoad> load = m_convention.decode_load(m_load);
-  if (load) return m_owner.NoteProbedLoad(*load);
-  m_owner.NoteProbeFailed();
+  if (load) return m_owner.OnProbedLoad(*load);
+  m_owner.OnProbeFailed();
 }
 
 void LoadProbe::OnBackendFailed(ConnectionId, Reason, bool) {
   m_is_running = false;
-  Drop();
-  m_owner.NoteProbeFailed();
+  DiscardConnection();
+  m_owner.OnProbeFailed();
 }
 
-void LoadProbe::OnBackendIdleClosed(ConnectionId) { Drop(); }
+void LoadProbe::OnBackendIdleClosed(ConnectionId) { DiscardConnection(); }
 
 // The connection may be the sender of the present event.
-void LoadProbe::Drop() {
+void LoadProbe::DiscardConnection() {
   if (!m_connection) return;
   m_connection->Abort();
   m_connection.release()->deleteLater();
--- a/src/libs/owner/loadprobe.h
+++ b/src/libs/owner/loadprobe.h
@@ -33,7 +33,7 @@
   void OnBackendFailed(ConnectionId connection, Reason reason, bool may_have_run) override;
   void OnBackendIdleClosed(ConnectionId connection) override;
   void Start();
-  void Drop();
+  void DiscardConnection();
 
   const CallConvention& m_convention;
   MetricsRegistry& m_metrics;
--- a/src/libs/owner/ownedcalls.cpp
+++ b/src/libs/owner/ownedcalls.cpp
@@ -13,14 +13,15 @@
   return TimePoint(Duration(static_cast<Duration::rep>(request.target_at_us())));
 }
 
-SendDecision OwnedCalls::Arrive(const CallKey& key, const wire::CallRequest& request,
-                                TimePoint now) const {
+SendDecision OwnedCalls::CheckArrival(const CallKey& key, const wire::CallRequest& request,
+                                      TimePoint now) const {
   if (m_ids.contains(key)) return {Reason::kNone, true};
   return m_guard.Arrive(key, Incarnation{request.owner_incarnation()}, request.expires_at_us(),
                         ToClockMicroseconds(now));
 }
 
-void OwnedCalls::NoteRefused(const CallKey& key, const wire::CallRequest& request, TimePoint now) {
+void OwnedCalls::RecordRefused(const CallKey& key, const wire::CallRequest& request,
+                               TimePoint now) {
   m_guard.NoteRefused(key, request.expires_at_us(), ToClockMicroseconds(now));
 }
 
@@ -55,7 +56,7 @@
 
 void OwnedCalls::RemoveRefused(OwnedCallId id, TimePoint now) {
   const OwnedCall& call = m_calls.at(id);
-  NoteRefused(call.key, call.request, now);
+  RecordRefused(call.key, call.request, now);
   Remove(id);
 }
 
@@ -65,7 +66,7 @@
   Remove(id);
 }
 
-void OwnedCalls::RemoveRun(OwnedCallId id, TimePoint now) {
+void OwnedCalls::RemoveFinished(OwnedCallId id, TimePoint now) {
   const OwnedCall& call = m_calls.at(id);
   m_guard.NoteEnded(call.key, call.request.expires_at_us(), ToClockMicroseconds(now));
   Remove(id);
@@ -88,7 +89,7 @@
   return wire::CALL_STATE_DONE;
 }
 
-bool OwnedCalls::RunsCallFrom(TimePoint before) const {
+bool OwnedCalls::HasRunningCallDispatchedBefore(TimePoint before) const {
   return std::any_of(m_calls.begin(), m_calls.end(), [before](const auto& entry) {
     return entry.second.state == OwnedCallState::kRunning && entry.second.dispatched_at < before;
   });
--- a/src/libs/owner/ownedcalls.h
+++ b/src/libs/owner/ownedcalls.h
@@ -5,7 +5,7 @@
 #include <map>
 #include <vector>
 
-#include "owner/keptanswers.h"
+#include "owner/retransmitcache.h"
 #include "policy/admissionqueue.h"
 #include "policy/runestimate.h"
 #include "policy/sendguard.h"
@@ -35,7 +35,7 @@
   bool shed = false;             // The server answered that it did not run it.
   bool server_was_full = false;  // And that it had no room for it.
   std::uint32_t next_sequence = 0;
-  AnswerTail tail;
+  RetransmitBuffer retransmit_buffer;
 
   // When the call expires, on this node's clock.
   TimePoint Deadline() const;
@@ -51,10 +51,11 @@
   explicit OwnedCalls(Incarnation self) : m_guard(self) {}
 
   // Decides about an arriving call. A call that is here already is ignored.
-  SendDecision Arrive(const CallKey& key, const wire::CallRequest& request, TimePoint now) const;
+  SendDecision CheckArrival(const CallKey& key, const wire::CallRequest& request,
+                            TimePoint now) const;
 
   // Notes that a call was refused at its arrival.
-  void NoteRefused(const CallKey& key, const wire::CallRequest& request, TimePoint now);
+  void RecordRefused(const CallKey& key, const wire::CallRequest& request, TimePoint now);
 
   OwnedCallId Add(const CallKey& key, const ReplyRoute& route, wire::CallRequest request);
 
@@ -71,7 +72,7 @@
   // Removes a call that ended: refused, cancelled before it ran, or after it was dispatched.
   void RemoveRefused(OwnedCallId id, TimePoint now);
   void RemoveCancelled(OwnedCallId id, TimePoint now);
-  void RemoveRun(OwnedCallId id, TimePoint now);
+  void RemoveFinished(OwnedCallId id, TimePoint now);
 
   // What is known of a call that is not here; it will not run after this.
   wire::CallState Settle(const CallKey& key, std::uint64_t expires_at_us, TimePoint now);
@@ -80,7 +81,7 @@
   void Sweep(TimePoint now);
 
   // Whether a call that was dispatched before this time still runs.
-  bool RunsCallFrom(TimePoint before) const;
+  bool HasRunningCallDispatchedBefore(TimePoint before) const;
 
   bool IsEmpty() const { return m_calls.empty(); }
 
--- a/src/libs/owner/ownerservice.cpp
+++ b/src/libs/owner/ownerservice.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::size_t kAnswerWindowBytes = 256UL * 1024UL;
-constexpr std::size_t kKeptAnswerBytes = 1024UL * 1024UL;
+constexpr std::size_t kRetransmitCacheBytes = 1024UL * 1024UL;
 // Covers the detection of a silent link and the handshake of a new one between regions.
-constexpr std::chrono::seconds kKeptAnswerAge{3};
-constexpr std::chrono::seconds kTombstoneSweep{1};
+constexpr std::chrono::seconds kRetransmitCacheMaxAge{3};
+constexpr std::chrono::seconds kEndedCallSweepInterval{1};
 // HTTP 421: the request was meant for another server.
 constexpr int kMisdirectedStatus = 421;
 
@@ -33,13 +33,13 @@
       m_admission(AdmissionLimits{}, {}),
       m_calls(m_identity.incarnation),
       m_claims(m_identity.server, m_identity.started, m_messenger),
-      m_kept(kKeptAnswerBytes, kKeptAnswerAge) {}
+      m_retransmit_cache(kRetransmitCacheBytes, kRetransmitCacheMaxAge) {}
 
 void OwnerService::ApplyDeclaration(std::shared_ptr<const Declaration> declaration,
                                     std::uint64_t version) {
   const std::lock_guard lock(m_lock);
   m_declaration = std::move(declaration);
-  m_version = version;
+  m_configuration_version = version;
   const BackendServer* server = m_declaration->FindServer(m_identity.server);
   m_service = server == nullptr ? nullptr : m_declaration->FindService(server->service);
   if (server == nullptr) {
@@ -47,7 +47,7 @@
         .With("version", static_cast<std::int64_t>(version));
     return;
   }
-  RefuseMisplaced();
+  RefuseCallsOfOtherServices();
   if (m_instance != server->instance) m_pacer.Reset();
   m_instance = server->instance;
   m_claims.SetInventory(*m_declaration, server->service, version, WallNow());
@@ -74,19 +74,19 @@
   } else if (message.has_claim_release()) {
     m_claims.HandleRelease(route, message.claim_release(), LockedState(), WallNow());
   } else if (message.has_claim_released()) {
-    Continue(m_claims.HandleReleased(route.peer, message.claim_released(), WallNow()));
+    HandleClaimResults(m_claims.HandleReleased(route.peer, message.claim_released(), WallNow()));
   }
 }
 
 void OwnerService::HandleSendFailed(const wire::Envelope& message) {
   if (!message.has_claim_release()) return;
   const std::lock_guard lock(m_lock);
-  Continue(m_claims.HandleSendFailed(message.claim_release()));
+  HandleClaimResults(m_claims.HandleSendFailed(message.claim_release()));
 }
 
-void OwnerService::NotePeerState(const BackendServerId& peer, const wire::OwnerState& state) {
+void OwnerService::RecordPeerState(const BackendServerId& peer, const wire::OwnerState& state) {
   const std::lock_guard lock(m_lock);
-  m_claims.NotePeerState(peer, state, WallNow());
+  m_claims.RecordPeerState(peer, state, WallNow());
 }
 
 void OwnerService::SetAbsentSince(AbsentSince absent_since) {
@@ -101,7 +101,7 @@
   }
   // A VM's address may pass to a server of another service while ingresses still know the old one.
   if (request.service() != m_service->id.Value()) return {Reason::kWrongServer, false};
-  const SendDecision decision = m_calls.Arrive(key, request, now);
+  const SendDecision decision = m_calls.CheckArrival(key, request, now);
   if (decision.refusal != Reason::kNone || decision.ignore) return decision;
   if (m_draining || m_backend_leaving) return {Reason::kDraining, false};
   return {IsViewFresh(now) ? Reason::kNone : Reason::kViewRefreshing, false};
@@ -113,7 +113,7 @@
   const SendDecision decision = CheckRequest(key, request, now);
   if (decision.ignore) return;  // Delivered twice.
   if (decision.refusal != Reason::kNone) {
-    m_calls.NoteRefused(key, request, now);
+    m_calls.RecordRefused(key, request, now);
     return Refuse(route, request.call_id(), decision.refusal, LogIdOf(request, m_convention));
   }
   const OwnedCallId id = m_calls.Add(key, route, std::move(request));
@@ -121,10 +121,10 @@
   call.log_id = LogIdOf(call.request, m_convention);
   call.arrived = now;
   if (call.request.request_id().empty()) return Admit(id, now);
-  Claim(id, call, now);
+  StartClaim(id, call, now);
 }
 
-void OwnerService::Claim(OwnedCallId id, OwnedCall& call, TimePoint now) {
+void OwnerService::StartClaim(OwnedCallId id, OwnedCall& call, TimePoint now) {
   const RequestDecision decision =
       m_claims.Start(id, call.request.request_id(), call.request.digest(), now, WallNow());
   switch (decision.kind) {
@@ -134,17 +134,17 @@
       call.state = OwnedCallState::kClaiming;
       return;
     case RequestDecision::Kind::kRefuse:
-      return RefuseUnrun(id, decision.reason);
+      return RefuseNotRun(id, decision.reason);
     case RequestDecision::Kind::kReplay:
       return Replay(id, call, *decision.answer);
   }
 }
 
-void OwnerService::Continue(std::span<const SettledClaim> claims) {
+void OwnerService::HandleClaimResults(std::span<const ClaimResult> claims) {
   const TimePoint now = MonotonicNow();
-  for (const SettledClaim& claim : claims) {
+  for (const ClaimResult& claim : claims) {
     if (claim.refusal != Reason::kNone) {
-      RefuseUnrun(claim.call, claim.refusal);
+      RefuseNotRun(claim.call, claim.refusal);
     } else {
       Admit(claim.call, now);
     }
@@ -153,7 +153,7 @@
 
 void OwnerService::Admit(OwnedCallId id, TimePoint now) {
   OwnedCall& owned = m_calls.At(id);
-  if (IsKeptBack(id, owned)) return;
+  if (HoldOrRefuse(id, owned)) return;
   owned.state = OwnedCallState::kQueued;
   AdmissionCall call;
   call.id = id;
@@ -163,9 +163,9 @@
   call.priority_index = PriorityIndexOf(owned.request.priority());
   const Admission admission = m_admission.Offer(call, now);
   for (const OwnedCallId evicted : admission.evicted) {
-    RefuseUnrun(evicted, admission.eviction_reason);
+    RefuseNotRun(evicted, admission.eviction_reason);
   }
-  if (admission.refusal != Reason::kNone) return RefuseUnrun(id, admission.refusal);
+  if (admission.refusal != Reason::kNone) return RefuseNotRun(id, admission.refusal);
   Dispatch(now);
 }
 
@@ -215,47 +215,47 @@
   }
 }
 
-void OwnerService::NoteProbedLoad(const ServerLoad& load) {
+void OwnerService::OnProbedLoad(const ServerLoad& load) {
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
-  NoteServerLoad(load, now);
+  RecordServerLoad(load, now);
   AnswerLoadQueries();
   Dispatch(now);
 }
 
-void OwnerService::NoteProbeFailed() {
+void OwnerService::OnProbeFailed() {
   const std::lock_guard lock(m_lock);
   AnswerLoadQueries();
 }
 
-void OwnerService::NoteServerLoad(const ServerLoad& load, TimePoint now) {
+void OwnerService::RecordServerLoad(const ServerLoad& load, TimePoint now) {
   m_slowness = load.slowness;
   m_pacer.NoteSlowness(load.slowness, now);
 }
 
-bool OwnerService::IsKeptBack(OwnedCallId id, OwnedCall& call) {
+bool OwnerService::HoldOrRefuse(OwnedCallId id, OwnedCall& call) {
   const std::string& digest = call.request.digest();
-  Reason refusal = m_crash_guard.Check(digest);
+  Reason refusal = m_crash_guard.CheckBan(digest);
   if (refusal == Reason::kNone) {
     if (!m_crash_guard.IsSuspect(digest)) return false;
-    if (!m_suspects.IsOccupied()) {
-      m_suspects.Enter(id);
+    if (!m_suspect_gate.IsOccupied()) {
+      m_suspect_gate.Enter(id);
       return false;
     }
     call.state = OwnedCallState::kHeld;
-    refusal = m_suspects.Wait(id, call.request.ByteSizeLong());
+    refusal = m_suspect_gate.Wait(id, call.request.ByteSizeLong());
   }
-  if (refusal != Reason::kNone) RefuseUnrun(id, refusal);
+  if (refusal != Reason::kNone) RefuseNotRun(id, refusal);
   return true;
 }
 
-void OwnerService::ReleaseSuspects(TimePoint now) {
-  for (const OwnedCallId id : m_suspects.Waiting()) {
+void OwnerService::AdmitHeldSuspects(TimePoint now) {
+  for (const OwnedCallId id : m_suspect_gate.Waiting()) {
     const OwnedCall& call = m_calls.At(id);
     if (call.Deadline() <= now) {
-      RefuseUnrun(id, Reason::kQueueExpired);
-    } else if (!m_suspects.IsOccupied() || !m_crash_guard.IsSuspect(call.request.digest())) {
-      m_suspects.Leave(id);
+      RefuseNotRun(id, Reason::kQueueExpired);
+    } else if (!m_suspect_gate.IsOccupied() || !m_crash_guard.IsSuspect(call.request.digest())) {
+      m_suspect_gate.Leave(id);
       Admit(id, now);
     }
   }
@@ -269,13 +269,13 @@
   head.ParseFromString(answer.head);
   head.set_replayed(true);
   SendPart(id, call, std::move(part), &head);
-  m_kept.Keep(call.key, std::move(call.tail), MonotonicNow());
-  m_calls.RemoveRun(id, MonotonicNow());
+  m_retransmit_cache.Store(call.key, std::move(call.retransmit_buffer), MonotonicNow());
+  m_calls.RemoveFinished(id, MonotonicNow());
 }
 
 void OwnerService::Dispatch(TimePoint now) {
   // After a pause, the next tick first refuses what has expired, and the view is refreshed.
-  if (m_pause.IsOverdue(now) || !IsViewFresh(now)) return;
+  if (m_pause_detector.IsOverdue(now) || !IsViewFresh(now)) return;
   m_admission.SetMostInFlight(m_pacer.MostInFlight(m_admission.Slots()));
   bool is_holding = false;
   const auto is_held = [&](const PriorityId& priority) {
@@ -301,7 +301,7 @@
       .With("slowness_percent", static_cast<std::int64_t>(m_slowness * 100.0))
       .With("remaining_ms", remaining.count());
   BackendRequest request;
-  request.request = BackendRequestOf(call.request, remaining, m_convention, m_instance);
+  request.request = MakeBackendRequest(call.request, remaining, m_convention, m_instance);
   request.credit = kAnswerWindowBytes;
   request.timeout = remaining;
   request.idempotent = call.request.idempotent();
@@ -310,7 +310,7 @@
   request.check.mark_field = m_convention.answer_mark;
   call.request.clear_body();
   m_metrics.Add(Metric::kCallsDispatched);
-  m_pool->Run(id, std::move(request));
+  m_pool->SendRequest(id, std::move(request));
 }
 
 void OwnerService::HandleCancel(const ReplyRoute& route, const wire::Cancel& cancel) {
@@ -325,16 +325,16 @@
     result.set_call_state(m_calls.Settle(key, cancel.expires_at_us(), now));
   } else if (call->state == OwnedCallState::kClaiming || call->state == OwnedCallState::kHeld ||
              m_admission.Cancel(id)) {
-    m_suspects.Leave(id);
+    m_suspect_gate.Leave(id);
     result.set_call_state(wire::CALL_STATE_CANCELLED);
-    m_claims.End(id, ClaimEnd::kNotRun);
+    m_claims.RecordOutcome(id, ClaimOutcome::kNotRun);
     m_calls.RemoveCancelled(id, now);
   } else {
     result.set_call_state(wire::CALL_STATE_RUNNING);
     call->discard_answer = true;
     if (call->request.idempotent()) {
       m_pool->Cancel(id);
-      m_claims.End(id, ClaimEnd::kNotRun);  // An idempotent request may run again.
+      m_claims.RecordOutcome(id, ClaimOutcome::kNotRun);  // An idempotent request may run again.
       Finish(id, SlotResult::kFailed);
     } else {
       // Cutting it off would leave its effect uncertain, so it runs to its end and the answer is
@@ -356,10 +356,10 @@
     call->route = route;
     result.set_call_state(call->state == OwnedCallState::kRunning ? wire::CALL_STATE_RUNNING
                                                                   : wire::CALL_STATE_QUEUED);
-    missing = call->tail.Missing(query.next_sequence());
-  } else if (const AnswerTail* kept = m_kept.Find(key); kept != nullptr) {
+    missing = call->retransmit_buffer.MessagesFrom(query.next_sequence());
+  } else if (const RetransmitBuffer* cached = m_retransmit_cache.Find(key); cached != nullptr) {
     result.set_call_state(wire::CALL_STATE_DONE);
-    missing = kept->Missing(query.next_sequence());
+    missing = cached->MessagesFrom(query.next_sequence());
   } else {
     result.set_call_state(m_calls.Settle(key, query.expires_at_us(), MonotonicNow()));
   }
@@ -373,7 +373,7 @@
   const OwnedCallId id = m_calls.IdOf(KeyOf(route, credit.ingress_incarnation(), credit.call_id()));
   OwnedCall* call = m_calls.Find(id);
   if (call == nullptr) return;
-  call->tail.NoteCredit(credit.bytes());
+  call->retransmit_buffer.OnCredit(credit.bytes());
   m_pool->AddCredit(id, credit.bytes());
 }
 
@@ -401,20 +401,20 @@
   m_messenger.Reply(route, std::move(message));
 }
 
-void OwnerService::RefuseMisplaced() {
+void OwnerService::RefuseCallsOfOtherServices() {
   if (m_service == nullptr) return;
   for (const OwnedCallId id : m_calls.Waiting()) {
     if (m_calls.At(id).request.service() == m_service->id.Value()) continue;
     m_admission.Cancel(id);
-    RefuseUnrun(id, Reason::kWrongServer);
+    RefuseNotRun(id, Reason::kWrongServer);
   }
 }
 
-void OwnerService::RefuseUnrun(OwnedCallId id, Reason reason) {
+void OwnerService::RefuseNotRun(OwnedCallId id, Reason reason) {
   const OwnedCall& call = m_calls.At(id);
-  m_suspects.Leave(id);
+  m_suspect_gate.Leave(id);
   const bool request_id_not_run = m_claims.IsAccepted(id);
-  m_claims.End(id, ClaimEnd::kNotRun);
+  m_claims.RecordOutcome(id, ClaimOutcome::kNotRun);
   Refuse(call.route, call.key.call.value, reason, call.log_id, request_id_not_run);
   m_calls.RemoveRefused(id, MonotonicNow());
 }
@@ -424,10 +424,10 @@
   OwnedCall* call = m_calls.Find(id);
   if (call == nullptr) return;
   if (part.head) {
-    call->shed = SaysNotRun(*part.head);
-    call->server_was_full = call->shed && SaysFull(*part.head);
-    NoteDrainHeader(*part.head);
-    NoteLoad(*part.head);
+    call->shed = IsMarkedNotRun(*part.head);
+    call->server_was_full = call->shed && IsServerFull(*part.head);
+    RecordDrainHeader(*part.head);
+    RecordLoadHeader(*part.head);
     m_log.Step("server_answered", call->log_id)
         .With("status", part.head->status)
         .With("time_us", (MonotonicNow() - call->dispatched_at).count())
@@ -438,28 +438,29 @@
   if (last) FinishAnswered(id, *call);
 }
 
-bool OwnerService::SaysNotRun(const HttpResponseHead& head) const {
+bool OwnerService::IsMarkedNotRun(const HttpResponseHead& head) const {
   if (!m_convention.not_run.empty()) return HasHeader(head.headers, m_convention.not_run);
   return m_service != nullptr && m_service->shed_status == head.status;
 }
 
-std::optional<ServerLoad> OwnerService::LoadIn(const HttpResponseHead& head) const {
+std::optional<ServerLoad> OwnerService::LoadFromHeader(const HttpResponseHead& head) const {
   if (m_convention.decode_load == nullptr) return std::nullopt;
   const std::string_view text = FindHeader(head.headers, m_convention.load);
   return text.empty() ? std::nullopt : m_convention.decode_load(text);
 }
 
-bool OwnerService::SaysFull(const HttpResponseHead& head) const {
+bool OwnerService::IsServerFull(const HttpResponseHead& head) const {
   if (head.status == kMisdirectedStatus) return false;
-  const std::optional<ServerLoad> load = LoadIn(head);
+  const std::optional<ServerLoad> load = LoadFromHeader(head);
   return !load || load->running + load->waiting >= load->slots;
 }
 
-void OwnerService::NoteLoad(const HttpResponseHead& head) {
-  if (const std::optional<ServerLoad> load = LoadIn(head)) NoteServerLoad(*load, MonotonicNow());
+void OwnerService::RecordLoadHeader(const HttpResponseHead& head) {
+  if (const std::optional<ServerLoad> load = LoadFromHeader(head))
+    RecordServerLoad(*load, MonotonicNow());
 }
 
-void OwnerService::NoteDrainHeader(const HttpResponseHead& head) {
+void OwnerService::RecordDrainHeader(const HttpResponseHead& head) {
   if (m_convention.drain.empty()) return;
   const std::string_view value = FindHeader(head.headers, m_convention.drain);
   if (value.empty()) return;
@@ -468,7 +469,7 @@
   m_backend_leaving = m_backend_leaving || is_leaving;
 }
 
-std::optional<bool> OwnerService::TakeDrainHeader() {
+std::optional<bool> OwnerService::PopDrainHeader() {
   const std::lock_guard lock(m_lock);
   return std::exchange(m_drain_header, std::nullopt);
 }
@@ -490,10 +491,10 @@
   if (replayed_head != nullptr) *chunk.mutable_head() = *replayed_head;
   chunk.set_data(std::move(part.data));
   chunk.set_last(part.last);
-  m_claims.NoteChunk(id, chunk);
+  m_claims.RecordChunk(id, chunk);
   if (call.discard_answer) return;
   if (chunk.has_head() || chunk.last()) *chunk.mutable_state() = LockedState();
-  call.tail.Add(chunk);
+  call.retransmit_buffer.Add(chunk);
   m_messenger.Reply(call.route, std::move(message));
 }
 
@@ -503,13 +504,14 @@
     const std::uint64_t call_id = call.key.call.value;
     const std::string log_id = call.log_id;
     const bool request_id_not_run = m_claims.IsAccepted(id);
-    m_claims.End(id, ClaimEnd::kNotRun);
+    m_claims.RecordOutcome(id, ClaimOutcome::kNotRun);
     Finish(id, call.server_was_full ? SlotResult::kShed : SlotResult::kFailed);
     return Refuse(route, call_id, Reason::kBackendShed, log_id, request_id_not_run);
   }
-  if (!call.discard_answer) m_kept.Keep(call.key, std::move(call.tail), MonotonicNow());
-  m_claims.End(id, ClaimEnd::kRan);
-  m_crash_guard.NoteCompletedHere(call.request.digest());
+  if (!call.discard_answer)
+    m_retransmit_cache.Store(call.key, std::move(call.retransmit_buffer), MonotonicNow());
+  m_claims.RecordOutcome(id, ClaimOutcome::kRan);
+  m_crash_guard.RecordLocalCompletion(call.request.digest());
   m_pacer.NoteCompleted(PriorityId(call.request.priority()), MonotonicNow() - call.dispatched_at,
                         call.condition);
   Finish(id, SlotResult::kCompleted);
@@ -524,11 +526,12 @@
   const bool discard = call->discard_answer;
   const std::string log_id = call->log_id;
   if (reason == Reason::kBackendClosed && may_have_run) {
-    m_crash_guard.NoteAborted(call->request.digest());
+    m_crash_guard.RecordAborted(call->request.digest());
   }
   const bool request_id_not_run = !may_have_run && m_claims.IsAccepted(id);
   const bool may_run_again = !may_have_run || call->request.idempotent();
-  m_claims.End(id, may_run_again ? ClaimEnd::kNotRun : ClaimEnd::kMayHaveRun, reason);
+  m_claims.RecordOutcome(id, may_run_again ? ClaimOutcome::kNotRun : ClaimOutcome::kMayHaveRun,
+                         reason);
   Finish(id, SlotResult::kFailed);
   if (discard) return;
   Refuse(route, call_id, may_have_run ? reason : Reason::kBackendUnreachable, log_id,
@@ -537,34 +540,34 @@
 
 void OwnerService::Finish(OwnedCallId id, SlotResult result) {
   const TimePoint now = MonotonicNow();
-  m_calls.RemoveRun(id, now);
+  m_calls.RemoveFinished(id, now);
   m_admission.NoteFinished(id, result, now);
-  m_suspects.Leave(id);
-  ReleaseSuspects(now);
+  m_suspect_gate.Leave(id);
+  AdmitHeldSuspects(now);
   Dispatch(now);
 }
 
 void OwnerService::Tick(TimePoint now) {
   const std::lock_guard lock(m_lock);
   for (const OwnedCallId id : m_admission.TakeExpired(now)) {
-    RefuseUnrun(id, Reason::kQueueExpired);
+    RefuseNotRun(id, Reason::kQueueExpired);
   }
   for (const OwnedCallId id : m_admission.TakeHopeless(now)) {
-    RefuseUnrun(id, Reason::kQueueFullTime);
+    RefuseNotRun(id, Reason::kQueueFullTime);
   }
-  if (m_pause.NoteTick(now)) {
+  if (m_pause_detector.NoteTick(now)) {
     m_metrics.Add(Metric::kPausesSeen);
     LogEvent(LogPart::kOwner, LogLevel::kWarning, "paused");
   }
-  Continue(m_claims.Tick(now, WallNow()));
-  ReleaseSuspects(now);
+  HandleClaimResults(m_claims.Tick(now, WallNow()));
+  AdmitHeldSuspects(now);
   Dispatch(now);
-  m_kept.DropOld(now);
+  m_retransmit_cache.EvictExpired(now);
   const AdmissionLoad load = m_admission.Load();
   m_metrics.Set(Metric::kQueuedCalls, load.queued);
   m_metrics.Set(Metric::kInFlightCalls, load.in_flight);
   if (now < m_next_sweep) return;
-  m_next_sweep = now + kTombstoneSweep;
+  m_next_sweep = now + kEndedCallSweepInterval;
   m_calls.Sweep(now);
 }
 
@@ -592,7 +595,7 @@
   state.set_service_time_us(static_cast<std::uint64_t>(load.service_time.count()));
   state.set_draining(m_draining || m_backend_leaving);
   state.set_started_ms(static_cast<std::uint64_t>(m_identity.started.time_since_epoch().count()));
-  state.set_configuration_version(m_version);
+  state.set_configuration_version(m_configuration_version);
   state.set_slowness_percent(static_cast<std::uint32_t>(m_slowness * 100.0));
   return state;
 }
@@ -602,9 +605,9 @@
   return m_draining || m_backend_leaving;
 }
 
-bool OwnerService::RunsCallFrom(TimePoint before) const {
+bool OwnerService::HasRunningCallDispatchedBefore(TimePoint before) const {
   const std::lock_guard lock(m_lock);
-  return m_calls.RunsCallFrom(before);
+  return m_calls.HasRunningCallDispatchedBefore(before);
 }
 
 bool OwnerService::IsIdle() const {
--- a/src/libs/owner/keptanswers.cpp
+++ b/src/libs/owner/retransmitcache.cpp
@@ -1,4 +1,4 @@
-#include "owner/keptanswers.h"
+#include "owner/retransmitcache.h"
 
 #include <utility>
 
@@ -11,12 +11,12 @@
 
 }  // namespace
 
-void AnswerTail::Add(const wire::ResponseChunk& chunk) {
+void RetransmitBuffer::Add(const wire::ResponseChunk& chunk) {
   bytes += SizeOf(chunk);
   chunks.push_back(chunk);
 }
 
-void AnswerTail::NoteCredit(std::size_t credited) {
+void RetransmitBuffer::OnCredit(std::size_t credited) {
   m_credited += credited;
   // Any credit shows that the empty chunks before the credited bytes have arrived.
   while (m_credited > 0 && !chunks.empty() && !chunks.front().last() &&
@@ -27,7 +27,7 @@
   }
 }
 
-std::vector<wire::Envelope> AnswerTail::Missing(std::uint32_t next_sequence) const {
+std::vector<wire::Envelope> RetransmitBuffer::MessagesFrom(std::uint32_t next_sequence) const {
   std::vector<wire::Envelope> messages;
   for (const wire::ResponseChunk& chunk : chunks) {
     if (chunk.sequence() < next_sequence) continue;
@@ -38,28 +38,30 @@
   return messages;
 }
 
-void KeptAnswers::Keep(const CallKey& key, AnswerTail tail, TimePoint now) {
-  if (tail.bytes > m_max_bytes || m_entries.contains(key)) return;
-  m_bytes += tail.bytes;
-  const auto position = m_order.insert(m_order.end(), key);
-  m_entries.emplace(key, Entry{std::move(tail), now, position});
-  while (m_bytes > m_max_bytes) DropOldest();
+void RetransmitCache::Store(const CallKey& key, RetransmitBuffer buffer, TimePoint now) {
+  if (buffer.bytes > m_max_bytes || m_entries.contains(key)) return;
+  m_bytes += buffer.bytes;
+  const auto position = m_oldest_first.insert(m_oldest_first.end(), key);
+  m_entries.emplace(key, Entry{std::move(buffer), now, position});
+  while (m_bytes > m_max_bytes) EvictOldest();
 }
 
-void KeptAnswers::DropOld(TimePoint now) {
-  while (!m_order.empty() && now - m_entries.at(m_order.front()).kept_at > m_max_age) DropOldest();
+void RetransmitCache::EvictExpired(TimePoint now) {
+  while (!m_oldest_first.empty() &&
+         now - m_entries.at(m_oldest_first.front()).stored_at > m_max_age)
+    EvictOldest();
 }
 
-const AnswerTail* KeptAnswers::Find(const CallKey& key) const {
+const RetransmitBuffer* RetransmitCache::Find(const CallKey& key) const {
   const auto found = m_entries.find(key);
-  return found == m_entries.end() ? nullptr : &found->second.tail;
+  return found == m_entries.end() ? nullptr : &found->second.buffer;
 }
 
-void KeptAnswers::DropOldest() {
-  const auto found = m_entries.find(m_order.front());
-  m_bytes -= found->second.tail.bytes;
+void RetransmitCache::EvictOldest() {
+  const auto found = m_entries.find(m_oldest_first.front());
+  m_bytes -= found->second.buffer.bytes;
   m_entries.erase(found);
-  m_order.pop_front();
+  m_oldest_first.pop_front();
 }
 
 }  // namespace damaskhollow
--- a/tests/auto/calls/tst_callconvention.cpp
+++ b/tests/auto/calls/tst_callconvention.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kReturn{250};
+constexpr std::chrono::milliseconds kRetryAfter{250};
 
 // What a caller that reads promises off the status may be told.
 struct StatusRow {
@@ -38,11 +38,11 @@
 };
 
 void TestStatus(const StatusRow& row) {
-  const ReasonAnswer answer =
-      AnswerFor(row.reason, row.outcome, platform::PlatformConvention(), kReturn);
+  const GeneratedAnswer answer =
+      GenerateAnswer(row.reason, row.outcome, platform::PlatformConvention(), kRetryAfter);
   CPPUNIT_ASSERT_EQUAL(row.status, answer.head.status);
-  const bool may_return = row.status == 503;
-  CPPUNIT_ASSERT_EQUAL(std::string(may_return ? "0.25" : ""),
+  const bool may_retry = row.status == 503;
+  CPPUNIT_ASSERT_EQUAL(std::string(may_retry ? "0.25" : ""),
                        std::string(FindHeader(answer.head.headers, "Retry-After")));
 }
 
@@ -67,8 +67,8 @@
     AddHeader(call, "Request-Id", "9c41d07be2a35f68");
     AddHeader(call, "Deadline-Ms", "4000");
     AddHeader(call, "X-Other", "kept");
-    const HttpRequest request = BackendRequestOf(call, std::chrono::milliseconds(1500),
-                                                 platform::PlatformConvention(), "i-7f3a91c2");
+    const HttpRequest request = MakeBackendRequest(call, std::chrono::milliseconds(1500),
+                                                   platform::PlatformConvention(), "i-7f3a91c2");
     CPPUNIT_ASSERT_EQUAL(std::string("POST"), request.method);
     CPPUNIT_ASSERT_EQUAL(std::string("/a/b?c=d"), request.target);
     CPPUNIT_ASSERT_EQUAL(std::string("bytes"), request.body);
@@ -84,14 +84,14 @@
   void CallerCannotNameItsOrigin() {
     HttpRequest request;
     request.headers = {{"caller-service", "forged"}, {"Expect-Instance", "i-1"}, {"Host", "h"}};
-    StampOrigin(request, platform::PlatformConvention(), ServiceId("warehouse"));
+    ReplaceOriginHeaders(request, platform::PlatformConvention(), ServiceId("warehouse"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, request.headers.size());
     CPPUNIT_ASSERT_EQUAL(std::string("warehouse"), Field(request, "Caller-Service"));
   }
 
   void OwnConventionKeepsItsFields() {
-    const ReasonAnswer answer =
-        AnswerFor(Reason::kQueueExpired, Outcome::kNotRun, CallConvention(), kReturn);
+    const GeneratedAnswer answer =
+        GenerateAnswer(Reason::kQueueExpired, Outcome::kNotRun, CallConvention(), kRetryAfter);
     CPPUNIT_ASSERT_EQUAL(504, answer.head.status);
     CPPUNIT_ASSERT_EQUAL(std::string("not-run"),
                          std::string(FindHeader(answer.head.headers, "Damaskhollow-Outcome")));
--- a/tests/auto/owner/tst_keptanswers.cpp
+++ b/tests/auto/owner/tst_keptanswers.cpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-#include "owner/keptanswers.h"
+#include "owner/retransmitcache.h"
 
 namespace damaskhollow {
 
@@ -23,17 +23,18 @@
 }
 
 // An answer of three chunks: the head with 100 bytes, 200 bytes, and an empty last one.
-AnswerTail TailOfThree() {
-  AnswerTail tail;
-  tail.Add(ChunkOf(0, 100));
-  tail.Add(ChunkOf(1, 200));
-  tail.Add(ChunkOf(2, 0, true));
-  return tail;
+RetransmitBuffer BufferOfThree() {
+  RetransmitBuffer buffer;
+  buffer.Add(ChunkOf(0, 100));
+  buffer.Add(ChunkOf(1, 200));
+  buffer.Add(ChunkOf(2, 0, true));
+  return buffer;
 }
 
-std::vector<std::uint32_t> MissingOf(const AnswerTail& tail, std::uint32_t next_sequence) {
+std::vector<std::uint32_t> SequencesFrom(const RetransmitBuffer& buffer,
+                                         std::uint32_t next_sequence) {
   std::vector<std::uint32_t> sequences;
-  for (const wire::Envelope& message : tail.Missing(next_sequence)) {
+  for (const wire::Envelope& message : buffer.MessagesFrom(next_sequence)) {
     sequences.push_back(message.response_chunk().sequence());
   }
   return sequences;
@@ -58,11 +59,11 @@
 
  public:
   void SendsWhatIsMissing() {
-    const AnswerTail tail = TailOfThree();
-    CPPUNIT_ASSERT((MissingOf(tail, 0) == std::vector<std::uint32_t>{0, 1, 2}));
-    CPPUNIT_ASSERT((MissingOf(tail, 2) == std::vector<std::uint32_t>{2}));
-    CPPUNIT_ASSERT(MissingOf(tail, 3).empty());
-    CPPUNIT_ASSERT(tail.Missing(0).front().response_chunk().has_head());
+    const RetransmitBuffer buffer = BufferOfThree();
+    CPPUNIT_ASSERT((SequencesFrom(buffer, 0) == std::vector<std::uint32_t>{0, 1, 2}));
+    CPPUNIT_ASSERT((SequencesFrom(buffer, 2) == std::vector<std::uint32_t>{2}));
+    CPPUNIT_ASSERT(SequencesFrom(buffer, 3).empty());
+    CPPUNIT_ASSERT(buffer.MessagesFrom(0).front().response_chunk().has_head());
   }
 
   // Guards against an answer that cannot be sent again because a part was dropped too early.
@@ -73,69 +74,69 @@
     };
     for (const Row& row :
          std::array{Row{0, 3}, Row{99, 3}, Row{100, 2}, Row{299, 2}, Row{300, 1}, Row{100000, 1}}) {
-      AnswerTail tail = TailOfThree();
-      tail.NoteCredit(row.credited);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(row.credited), row.kept, tail.chunks.size());
-      CPPUNIT_ASSERT(tail.chunks.back().last());
+      RetransmitBuffer buffer = BufferOfThree();
+      buffer.OnCredit(row.credited);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(std::to_string(row.credited), row.kept, buffer.chunks.size());
+      CPPUNIT_ASSERT(buffer.chunks.back().last());
     }
   }
 
   void CreditIsTheSameInAnyPieces() {
-    AnswerTail tail = TailOfThree();
-    for (int count = 0; count < 299; ++count) tail.NoteCredit(1);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, tail.chunks.size());
-    tail.NoteCredit(1);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, tail.chunks.size());
-    CPPUNIT_ASSERT_EQUAL(tail.chunks.front().ByteSizeLong(), tail.bytes);
+    RetransmitBuffer buffer = BufferOfThree();
+    for (int count = 0; count < 299; ++count) buffer.OnCredit(1);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, buffer.chunks.size());
+    buffer.OnCredit(1);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, buffer.chunks.size());
+    CPPUNIT_ASSERT_EQUAL(buffer.chunks.front().ByteSizeLong(), buffer.bytes);
   }
 
   // Guards against an answer that is relayed with a hole in it.
   void SendsNothingAfterAGap() {
-    AnswerTail tail = TailOfThree();
-    tail.NoteCredit(100);
-    CPPUNIT_ASSERT((MissingOf(tail, 1) == std::vector<std::uint32_t>{1, 2}));
-    CPPUNIT_ASSERT(MissingOf(tail, 0).empty());
+    RetransmitBuffer buffer = BufferOfThree();
+    buffer.OnCredit(100);
+    CPPUNIT_ASSERT((SequencesFrom(buffer, 1) == std::vector<std::uint32_t>{1, 2}));
+    CPPUNIT_ASSERT(SequencesFrom(buffer, 0).empty());
   }
 
   // Guards against memory that grows by answers that have large heads and no body.
   void BoundsBytesIncludingHeads() {
-    KeptAnswers kept(10000, std::chrono::seconds(3));
+    RetransmitCache cache(10000, std::chrono::seconds(3));
     for (std::uint64_t call = 1; call <= 10; ++call) {
       wire::ResponseChunk chunk = ChunkOf(0, 0, true);
       chunk.mutable_head()->add_headers()->set_value(std::string(3000, 'h'));
-      AnswerTail tail;
-      tail.Add(chunk);
-      kept.Keep(KeyOf(call), tail, kStart);
+      RetransmitBuffer buffer;
+      buffer.Add(chunk);
+      cache.Store(KeyOf(call), buffer, kStart);
     }
     for (std::uint64_t call = 1; call <= 7; ++call) {
-      CPPUNIT_ASSERT(kept.Find(KeyOf(call)) == nullptr);
+      CPPUNIT_ASSERT(cache.Find(KeyOf(call)) == nullptr);
     }
     for (std::uint64_t call = 8; call <= 10; ++call) {
-      CPPUNIT_ASSERT(kept.Find(KeyOf(call)) != nullptr);
+      CPPUNIT_ASSERT(cache.Find(KeyOf(call)) != nullptr);
     }
-    AnswerTail too_large;
+    RetransmitBuffer too_large;
     too_large.Add(ChunkOf(0, 10001, true));
-    kept.Keep(KeyOf(11), too_large, kStart);
-    CPPUNIT_ASSERT(kept.Find(KeyOf(11)) == nullptr);
-    CPPUNIT_ASSERT(kept.Find(KeyOf(10)) != nullptr);
+    cache.Store(KeyOf(11), too_large, kStart);
+    CPPUNIT_ASSERT(cache.Find(KeyOf(11)) == nullptr);
+    CPPUNIT_ASSERT(cache.Find(KeyOf(10)) != nullptr);
   }
 
   void DropsOldAnswers() {
-    KeptAnswers kept(10000, std::chrono::seconds(3));
-    kept.Keep(KeyOf(1), TailOfThree(), kStart);
-    kept.Keep(KeyOf(2), TailOfThree(), kStart + std::chrono::seconds(1));
-    kept.DropOld(kStart + std::chrono::seconds(3));
-    CPPUNIT_ASSERT(kept.Find(KeyOf(1)) != nullptr);
-    kept.DropOld(kStart + std::chrono::seconds(3) + Duration(1));
-    CPPUNIT_ASSERT(kept.Find(KeyOf(1)) == nullptr);
-    CPPUNIT_ASSERT(kept.Find(KeyOf(2)) != nullptr);
+    RetransmitCache cache(10000, std::chrono::seconds(3));
+    cache.Store(KeyOf(1), BufferOfThree(), kStart);
+    cache.Store(KeyOf(2), BufferOfThree(), kStart + std::chrono::seconds(1));
+    cache.EvictExpired(kStart + std::chrono::seconds(3));
+    CPPUNIT_ASSERT(cache.Find(KeyOf(1)) != nullptr);
+    cache.EvictExpired(kStart + std::chrono::seconds(3) + Duration(1));
+    CPPUNIT_ASSERT(cache.Find(KeyOf(1)) == nullptr);
+    CPPUNIT_ASSERT(cache.Find(KeyOf(2)) != nullptr);
   }
 
   void KeepsFirstAnswerOfACall() {
-    KeptAnswers kept(10000, std::chrono::seconds(3));
-    kept.Keep(KeyOf(1), TailOfThree(), kStart);
-    kept.Keep(KeyOf(1), AnswerTail{}, kStart);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, kept.Find(KeyOf(1))->chunks.size());
+    RetransmitCache cache(10000, std::chrono::seconds(3));
+    cache.Store(KeyOf(1), BufferOfThree(), kStart);
+    cache.Store(KeyOf(1), RetransmitBuffer{}, kStart);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cache.Find(KeyOf(1))->chunks.size());
   }
 };
 
--- a/tests/auto/owner/tst_ownerservice.cpp
+++ b/tests/auto/owner/tst_ownerservice.cpp
@@ -19,15 +19,15 @@
 // Keeps what the owner answers.
 class RecordingMessenger : public Messenger {
  public:
-  void Send(const BackendServerId&, wire::Envelope message) override { Keep(std::move(message)); }
-  void Reply(const ReplyRoute&, wire::Envelope message) override { Keep(std::move(message)); }
+  void Send(const BackendServerId&, wire::Envelope message) override { Record(std::move(message)); }
+  void Reply(const ReplyRoute&, wire::Envelope message) override { Record(std::move(message)); }
   std::vector<wire::Envelope> Messages() const {
     const std::lock_guard lock(m_lock);
     return m_messages;
   }
 
  private:
-  void Keep(wire::Envelope message) {
+  void Record(wire::Envelope message) {
     const std::lock_guard lock(m_lock);
     m_messages.push_back(std::move(message));
   }
@@ -140,20 +140,20 @@
 
 const test::TableTest<AddressRow> address_test("OwnerServiceAddress", address_rows, TestAddress);
 
-struct PassedRow {
+struct ReassignedRow {
   std::string_view name;
   std::string next_service;  // Of the server that gets the VM's address while a call waits.
   std::vector<Reason> refusals;
 };
 
-const std::array passed_rows{
-    PassedRow{"server of the same service", "portal", {}},
-    PassedRow{"server of another service", "warehouse", {Reason::kWrongServer}},
+const std::array reassigned_rows{
+    ReassignedRow{"server of the same service", "portal", {}},
+    ReassignedRow{"server of another service", "warehouse", {Reason::kWrongServer}},
 };
 
 // Guards against a call that was taken for one service and is dispatched to the server of another
 // that has got the VM's address since.
-void TestAddressPassedWhileCallWaits(const PassedRow& row) {
+void TestAddressReassignedWhileCallWaits(const ReassignedRow& row) {
   OwnerFixture fixture;
   fixture.Owner().ApplyDeclaration(DeclarationOf("portal"), 1);
   // Nothing is dispatched until the owner has ticked again.
@@ -165,20 +165,20 @@
   CPPUNIT_ASSERT_EQUAL(!row.refusals.empty(), fixture.Owner().IsIdle());
 }
 
-const test::TableTest<PassedRow> passed_test("OwnerServiceAddressPassed", passed_rows,
-                                             TestAddressPassedWhileCallWaits);
+const test::TableTest<ReassignedRow> reassigned_test("OwnerServiceAddressPassed", reassigned_rows,
+                                                     TestAddressReassignedWhileCallWaits);
 
-struct TurnedAwayRow {
+struct RejectedRow {
   std::string_view name;
   std::string_view answer;  // Of the backend server, without the end of its head.
   std::uint32_t limit;      // Of calls in flight afterwards; 7 of 9 slots before.
 };
 
-constexpr std::array kTurnedAwayRows{
-    TurnedAwayRow{"full", "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nLoad: full\r\n", 6},
-    TurnedAwayRow{"with slots free", "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nLoad: calm\r\n", 7},
-    TurnedAwayRow{"that tells no load", "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\n", 6},
-    TurnedAwayRow{"that is another one", "HTTP/1.1 421 Misdirected\r\nNot-Run: 1\r\n", 7},
+constexpr std::array kRejectedRows{
+    RejectedRow{"full", "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nLoad: full\r\n", 6},
+    RejectedRow{"with slots free", "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nLoad: calm\r\n", 7},
+    RejectedRow{"that tells no load", "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\n", 6},
+    RejectedRow{"that is another one", "HTTP/1.1 421 Misdirected\r\nNot-Run: 1\r\n", 7},
 };
 
 std::optional<ServerLoad> DecodeTestLoad(std::string_view text) {
@@ -188,7 +188,7 @@
 // Guards against an owner that keeps its server idle because it turns calls away for another reason
 // than lack of room.
 // Pattern: servers that turn away half of their calls while their health check is good.
-void TestLimitAfterTurnedAway(const TurnedAwayRow& row) {
+void TestLimitAfterRejection(const RejectedRow& row) {
   const test::ScriptedServer server({std::string(row.answer) + "Content-Length: 0\r\n\r\n"},
                                     test::ScriptedServer::End::kKeepOpen);
   CallConvention convention;
@@ -203,8 +203,8 @@
   CPPUNIT_ASSERT_EQUAL(row.limit, fixture.Owner().State().limit());
 }
 
-const test::TableTest<TurnedAwayRow> turned_away_test("OwnerServiceTurnedAway", kTurnedAwayRows,
-                                                      TestLimitAfterTurnedAway);
+const test::TableTest<RejectedRow> rejected_test("OwnerServiceTurnedAway", kRejectedRows,
+                                                 TestLimitAfterRejection);
 
 }  // namespace
 
