--- a/src/libs/calls/attemptmessages.cpp
+++ b/src/libs/calls/attemptmessages.cpp
@@ -77,7 +77,7 @@
   if (owner.incarnation() != expiry.incarnation.value) return AttemptStatus::kUnknown;
   switch (call_state) {
     case wire::CALL_STATE_CANCELLED:
-    case wire::CALL_STATE_NEVER_SEEN:  // Owners say this only before the call's expiry.
+    case wire::CALL_STATE_NEVER_SEEN:  // Owners report this only before expiry.
       return AttemptStatus::kNotRun;
     case wire::CALL_STATE_DONE:
       return AttemptStatus::kDone;
--- a/src/libs/calls/attemptmessages.h
+++ b/src/libs/calls/attemptmessages.h
@@ -13,31 +13,35 @@
 
 namespace damaskhollow {
 
-// Names an attempt towards its owner.
+// Identifies an attempt in messages to its owner. An attempt is one send of a call to one owner.
 struct AttemptKey {
   CallId call;
   Incarnation ingress;
   ExpiryStamp expiry;
 };
 
-// The messages by which an ingress sends an attempt and asks about it.
+// Build the messages by which an ingress sends, cancels and queries an attempt. `digest` is the
+// result of RequestDigest; `next_sequence` is the first response chunk that the ingress lacks.
 wire::Envelope MakeCallRequest(const AttemptKey& attempt, const BackendServerId& server,
                                const CallClass& call_class, const std::string& digest,
                                const HttpRequest& request);
 wire::Envelope MakeCancel(const AttemptKey& attempt);
 wire::Envelope MakeStatusQuery(const AttemptKey& attempt, std::uint32_t next_sequence);
 
-// The digest that names a request towards the crash guard.
+// Returns the digest by which the crash guard identifies a request: the first 16 bytes of a SHA-256
+// over service, method, target and body.
 std::string RequestDigest(const ServiceId& service, const HttpRequest& request);
 
-// What an owner's word on a call proves.
+// The state of an attempt as it follows from its owner's report.
 enum class AttemptStatus {
-  kNotRun,  // It has not run and will not run.
+  kNotRun,  // Has not run and will not run.
   kPending,
   kDone,
-  kUnknown,  // The owner is another process.
+  kUnknown,  // The owner has been restarted since the attempt was stamped.
 };
 
+// Derives the state of an attempt from the reported call state. `owner` is the state sent with the
+// report, and `expiry` the stamp that the attempt was sent with.
 AttemptStatus AttemptStatusFrom(wire::CallState call_state, const wire::OwnerState& owner,
                                 const ExpiryStamp& expiry);
 
--- a/src/libs/calls/callheaders.cpp
+++ b/src/libs/calls/callheaders.cpp
@@ -17,7 +17,8 @@
          boost::beast::iequals({left.data(), left.size()}, {right.data(), right.size()});
 }
 
-// Fields by which a backend server could contradict the node.
+// Whether only nodes may set the field in responses. Such a field from a backend server could
+// contradict the one that the node sets.
 bool IsReservedField(std::string_view name, const CallConvention& convention) {
   for (const std::string* field : {&convention.outcome, &convention.reason, &convention.served_by,
                                    &convention.replayed, &convention.drain}) {
@@ -26,15 +27,18 @@
   return false;
 }
 
+// Whether the node sets the field in requests to backend servers itself.
 bool IsReplacedField(std::string_view name, const CallConvention& convention) {
   return IsSameName(name, convention.deadline) || IsSameName(name, convention.depth) ||
          IsSameName(name, convention.expected_instance);
 }
 
+// Returns the value of a header field; empty if the convention does not use the field.
 std::string_view FieldOf(const HttpRequest& request, std::string_view name) {
   return name.empty() ? std::string_view() : FindHeader(request.headers, name);
 }
 
+// Adds a header field unless its name or value is empty.
 void AddField(std::vector<HttpHeader>& headers, const std::string& name, std::string_view value) {
   if (!name.empty() && !value.empty()) headers.push_back({name, std::string(value)});
 }
@@ -43,7 +47,7 @@
   return QString::fromUtf8(text.data(), static_cast<qsizetype>(text.size()));
 }
 
-// Seconds with a fraction, as callers read them.
+// Formats a time as decimal seconds, without trailing zeros.
 std::string ToSeconds(std::chrono::milliseconds time) {
   constexpr std::int64_t kMillisecondsPerSecond = 1000;
   const std::int64_t whole = time.count() / kMillisecondsPerSecond;
@@ -54,15 +58,16 @@
   return std::to_string(whole) + "." + fraction;
 }
 
-// The status for a caller that reads promises off it: 503 where the call was not run, and none of
-// the statuses that promise it where that is not proved.
+// Returns the status for callers that conclude from it whether a call has run. Calls that were not
+// run get 503 in place of any 5xx status or 422. Calls that may have run get 502 in place of a
+// status that such callers take as "not run", which is 503 or any status below 500.
 int StatusForOutcome(int status, Outcome outcome) {
   constexpr int kUnavailable = 503;
   constexpr int kBadGateway = 502;
   constexpr int kFirstServerError = 500;
   constexpr int kUnprocessable = 422;
-  const bool is_own_fault = status >= kFirstServerError || status == kUnprocessable;
-  if (outcome == Outcome::kNotRun) return is_own_fault ? kUnavailable : status;
+  const bool is_failure_status = status >= kFirstServerError || status == kUnprocessable;
+  if (outcome == Outcome::kNotRun) return is_failure_status ? kUnavailable : status;
   const bool means_not_run = status == kUnavailable || status < kFirstServerError;
   return means_not_run ? kBadGateway : status;
 }
--- a/src/libs/calls/callheaders.h
+++ b/src/libs/calls/callheaders.h
@@ -13,32 +13,38 @@
 
 namespace damaskhollow {
 
-// The view that classification takes of a request; valid as long as the request.
+// Returns the fields of a request that classification uses. The result refers to `request` and must
+// not outlive it.
 CallDescription DescribeCall(const HttpRequest& request, const CallConvention& convention);
 
-// Replaces what the caller may not say itself: the service that it calls from, and the instance
-// that is meant.
+// Removes the headers that a caller must not set itself, which name the calling service and the
+// expected instance, and adds `origin` as the calling service.
 void ReplaceOriginHeaders(HttpRequest& request, const CallConvention& convention,
                           const ServiceId& origin);
 
-// The request to the backend server: the caller's, with the time left and the depth of the calls
-// that it makes itself. `instance` is the incarnation that is meant; it may be empty.
+// Builds the request to the backend server from the caller's: sets the remaining time as deadline,
+// the depth for the calls that the server makes in turn, and the expected incarnation `instance`
+// unless it is empty. Moves the body out of `request`.
 HttpRequest MakeBackendRequest(wire::CallRequest& request, std::chrono::milliseconds remaining,
                                const CallConvention& convention, std::string_view instance);
 
-// The head of an answer for the wire, without connection fields.
+// Converts the head of a backend server's response to a wire message. Connection-specific fields
+// and fields that only nodes may set are left out.
 wire::ResponseHead ToWire(const HttpResponseHead& head, const CallConvention& convention);
 
-// The head of an answer for the caller, with outcome and server.
+// Converts a response head from a wire message to the one for the caller, and adds the fields for
+// outcome, server and replay.
 HttpResponseHead MakeAnswerHead(const wire::ResponseHead& head, const CallConvention& convention,
                                 std::string_view server);
 
-// An answer made by the node itself, and its body.
+// A response that the node generates itself.
 struct GeneratedAnswer {
   HttpResponseHead head;
   std::string body;
 };
-// `retry_after` is when the caller may come again, for answers that ask it to.
+
+// Generates the response for a call that ended for `reason`. With status 503, `retry_after` is sent
+// as the time after which the caller may retry.
 GeneratedAnswer GenerateAnswer(Reason reason, Outcome outcome, const CallConvention& convention,
                                std::chrono::milliseconds retry_after);
 
--- a/src/libs/calls/calllog.cpp
+++ b/src/libs/calls/calllog.cpp
@@ -10,7 +10,8 @@
 
 constexpr char kNoId[] = "-";
 
-// The field that tells requests apart; the product's own convention has only the resend's id.
+// Returns the header field that identifies a request. The default convention has no call id, only
+// the request id that a caller repeats when it resends a request.
 const std::string& IdField(const CallConvention& convention) {
   return convention.call_id.empty() ? convention.request_id : convention.call_id;
 }
--- a/src/libs/calls/calllog.h
+++ b/src/libs/calls/calllog.h
@@ -13,17 +13,18 @@
 
 namespace damaskhollow {
 
-// Log lines on calls, bounded by a RequestLog. Each line names its request.
+// Writes the log lines of calls, limited in rate by a RequestLog. Each line has the request's id.
 class CallLog {
  public:
   CallLog(RequestLog& log, LogPart part) : m_log(log), m_part(part) {}
 
+  // Counts an incoming request; the sampling rate depends on the request rate.
   void RecordRequest(TimePoint now) { m_log.NoteRequest(now); }
 
-  // A line on the usual course of a call; written for sampled requests.
+  // Starts a line about the normal progress of a call. Written for sampled requests only.
   EventLine Step(std::string_view event, std::string_view request) const;
 
-  // A line on a failure; written while the rate of such lines allows it.
+  // Starts a line about a failure. Dropped when the rate of failure lines exceeds its limit.
   EventLine Failure(std::string_view event, std::string_view request, Reason reason) const;
 
  private:
@@ -31,7 +32,7 @@
   const LogPart m_part;
 };
 
-// The id by which log lines name a request; "-" if its caller gave none.
+// Returns the id of a request in log lines; "-" if the caller sent none.
 std::string LogIdOf(const HttpRequest& request, const CallConvention& convention);
 std::string LogIdOf(const wire::CallRequest& request, const CallConvention& convention);
 
--- a/src/libs/calls/messenger.h
+++ b/src/libs/calls/messenger.h
@@ -7,14 +7,17 @@
 
 namespace damaskhollow {
 
-// Carries messages between the roles of nodes. A message to this node itself is delivered without
-// the network, on the calling thread for requests to the owner and on a worker thread for answers.
-// May be used from any thread.
+// Sends messages between the ingress and owner roles of nodes. A message to this node itself does
+// not go through the network: requests to the owner are delivered on the calling thread, responses
+// on a worker thread. Thread-safe.
 class Messenger {
  public:
   virtual ~Messenger() = default;
 
+  // Sends a message to `peer`.
   virtual void Send(const BackendServerId& peer, wire::Envelope message) = 0;
+
+  // Sends a message back to where a received message came from.
   virtual void Reply(const ReplyRoute& route, wire::Envelope message) = 0;
 };
 
--- a/src/libs/calls/sharedcrashguard.cpp
+++ b/src/libs/calls/sharedcrashguard.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Above the connections of any backend server; keeps the memory bounded when one closes all the
-// time.
+// More than the connections of any backend server. Bounds the memory when a server keeps closing
+// connections.
 constexpr std::size_t kMaxAborted = 1024;
 constexpr std::size_t kMaxCleared = 1024;
 constexpr std::size_t kMaxDigestBytes = 32;
@@ -47,7 +47,7 @@
   const std::lock_guard lock(m_lock);
   if (m_aborted.digests.size() >= kMaxAborted) return;
   if (m_aborted.digests.empty()) m_aborted.first = MonotonicNow();
-  // A digest that was in flight twice is blamed once.
+  // A digest that was in flight more than once counts once.
   const auto begin = m_aborted.digests.begin();
   if (std::find(begin, m_aborted.digests.end(), digest) == m_aborted.digests.end()) {
     m_aborted.digests.push_back(digest);
--- a/src/libs/calls/sharedcrashguard.h
+++ b/src/libs/calls/sharedcrashguard.h
@@ -17,47 +17,51 @@
 
 namespace damaskhollow {
 
-// Connections to this node's backend server that were closed with a call in flight, not yet known
-// to be a crash or not.
+// Calls whose connection to this node's backend server was closed while they ran, before it is
+// decided whether the server has crashed.
 struct AbortedCalls {
-  TimePoint first{};
+  TimePoint first{};  // When the first one was aborted.
   std::vector<std::string> digests;
 };
 
-// The crash guard of a node under one lock. All members may be called from any thread. When it is
-// switched off, nothing is noted and nothing is a suspect.
+// Makes the node's crash guard thread-safe, collects aborted calls until they are attributed to a
+// crash or not, and filters the reports of peers. All member functions may be called from any
+// thread. When disabled, nothing is recorded and no request is a suspect.
 class SharedCrashGuard {
  public:
   explicit SharedCrashGuard(bool enabled) : m_enabled(enabled) {}
 
-  // kCrashingRequest if the digest is banned, else kNone.
+  // Returns kCrashingRequest if the digest is banned, else kNone.
   Reason CheckBan(const std::string& digest) const;
+
+  // Whether a request with this digest is suspected of crashing backend servers.
   bool IsSuspect(const std::string& digest) const;
 
-  // Notes that a request of this ingress was answered by any server.
+  // Records that a request sent by this node's ingress was answered, by whichever server.
   void RecordAnswered(const std::string& digest);
 
-  // Notes that this node's own backend server completed a request; peers are told if it was a
-  // suspect.
+  // Records that this node's own backend server completed a request. If it was a suspect, it is
+  // returned by PopClearedSuspects, to be reported to the peers.
   void RecordLocalCompletion(const std::string& digest);
 
-  // Notes that the backend server closed the connection of a call in flight.
+  // Records that the backend server closed the connection of a running call.
   void RecordAborted(const std::string& digest);
 
-  // The calls aborted since the last Confirm or Dismiss; empty if there are none.
+  // Returns the calls aborted since the last ConfirmCrash or DismissAborted; empty if there are
+  // none.
   std::optional<AbortedCalls> Aborted() const;
 
-  // Takes the aborted calls for a crash. Returns their digests.
+  // Attributes the aborted calls to a crash and clears them. Returns their digests.
   std::vector<std::string> ConfirmCrash();
 
-  // Takes the aborted calls for something else.
+  // Clears the aborted calls without attributing them to a crash.
   void DismissAborted();
 
-  // The suspects that this node's own server completed since the last call.
+  // Returns and clears the digests of suspects that this node's own server has completed.
   std::vector<std::string> PopClearedSuspects();
 
-  // Notes what a peer reports. Reports on other servers than the peer's own, repeated ones and
-  // malformed ones are ignored.
+  // Records a crash or completion reported by a peer. Ignores reports about servers other than the
+  // peer's own, duplicates, and malformed reports.
   void RecordReport(const BackendServerId& peer, const wire::CrashReport& report);
 
  private:
--- a/src/libs/calls/sharedrouter.cpp
+++ b/src/libs/calls/sharedrouter.cpp
@@ -76,8 +76,7 @@
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
   m_used.insert(request.service);
-  if (m_view_gate != nullptr && !m_view_gate->IsOpen(now))
-    return RoutingChoice{Reason::kViewRefreshing, {}};
+  if (m_gate != nullptr && !m_gate->IsOpen(now)) return RoutingChoice{Reason::kViewRefreshing, {}};
   return m_router.Choose(request, now);
 }
 
@@ -86,7 +85,7 @@
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
   m_used.insert(request.service);
-  if (m_view_gate != nullptr && !m_view_gate->IsOpen(now)) return {};
+  if (m_gate != nullptr && !m_gate->IsOpen(now)) return {};
   return m_router.ServersToAsk(request, max_servers, now);
 }
 
--- a/src/libs/calls/sharedrouter.h
+++ b/src/libs/calls/sharedrouter.h
@@ -19,7 +19,8 @@
 
 namespace damaskhollow {
 
-// The router and the owners' clocks, shared by the ingress shards under one lock.
+// Makes the router and the owners' clock readings thread-safe, as all ingress shards share them.
+// One lock guards both; all member functions but SetViewGate may be called from any thread.
 class SharedRouter {
  public:
   SharedRouter(const std::string& strategy, Place place, std::uint64_t seed);
@@ -28,31 +29,42 @@
   void SetEligible(const BackendServerId& server, bool eligible);
   void SetReachable(const BackendServerId& server, bool reachable);
 
-  // Notes what an owner says of itself.
+  // Records the state that an owner reported: its clock and its load.
   void RecordOwnerState(const BackendServerId& server, const wire::OwnerState& state);
 
+  // Records the start and the end of an attempt.
   void RecordSent(const BackendServerId& server, CallId attempt, std::size_t priority_index);
   void RecordEnded(const BackendServerId& server, CallId attempt, AttemptResult result);
 
-  // Attempts sent to the server that have not ended.
+  // Returns the number of attempts sent to the server that have not ended.
   std::size_t Outstanding(const BackendServerId& server) const;
 
-  // Notes bytes of an answer from another region.
+  // Records bytes of a response that was received from another region.
   void RecordPaidLinkBytes(std::size_t bytes);
 
-  // No server is chosen while the gate is closed. Must be called before the first choice.
-  void SetViewGate(const ViewGate* gate) { m_view_gate = gate; }
+  // Sets the gate that checks whether this node's view of the fleet is up to date. While it is
+  // closed, no server is chosen. Must be called before the first choice.
+  void SetViewGate(const ViewGate* gate) { m_gate = gate; }
 
-  // The services for which a server was asked since the last call of this.
+  // Returns and clears the services for which a server was requested.
   std::set<ServiceId> PopUsedServices();
 
-  // The servers of a service that this node uses, nearest tier first.
+  // Returns the servers of a service that this node uses, nearest tier first.
   std::vector<BackendServerId> SubsetOf(const ServiceId& service) const;
 
+  // Selects the server for a request.
   RoutingChoice Choose(const RoutingRequest& request);
+
+  // Returns up to `max_servers` servers whose load is to be queried before a choice. Empty while
+  // the view gate is closed.
   std::vector<BackendServerId> ServersToQuery(const RoutingRequest& request,
                                               std::size_t max_servers);
+
+  // Selects a server among those that have answered a load query.
   RoutingChoice ChooseAmong(const RoutingRequest& request, std::span<const LoadOffer> offers);
+
+  // Returns the expiry, on the server's owner's clock, of a call that may run for `remaining` from
+  // now. Empty if the owner has not reported its clock.
   std::optional<ExpiryStamp> Stamp(const BackendServerId& server, Duration remaining) const;
 
  private:
@@ -61,7 +73,7 @@
   OwnerClocks m_clocks;
   std::map<BackendServerId, std::size_t> m_outstanding;
   std::set<ServiceId> m_used;
-  const ViewGate* m_view_gate = nullptr;
+  const ViewGate* m_gate = nullptr;
 };
 
 }  // namespace damaskhollow
--- a/src/libs/calls/viewgate.h
+++ b/src/libs/calls/viewgate.h
@@ -8,19 +8,21 @@
 
 namespace damaskhollow {
 
-// Says whether the node's view of fleet and configuration may be used for routing and dispatch. It
-// closes by itself when the main thread has not ticked for a second, so that a worker thread that
-// wakes first after a pause does not act on the old view. May be used from any thread.
+// Indicates whether the node's view of fleet and configuration is recent enough for routing and
+// dispatch. The gate closes by itself when the main thread has not ticked for one second, so that a
+// worker thread that runs first after a pause of the process does not act on the old view.
+// Thread-safe.
 class ViewGate {
  public:
+  // Whether the view may be used.
   bool IsOpen(TimePoint now) const {
     const Duration::rep last = m_last_tick.load();
-    if (last == 0) return true;  // Not started yet.
+    if (last == 0) return true;  // No tick yet.
     return !m_refreshing.load() && now.time_since_epoch().count() - last <= kMaxTickAge.count();
   }
 
-  // Notes a tick of the main thread. Returns true if the process was paused since the last one; the
-  // gate then stays closed until Open.
+  // Records a tick of the main thread. Returns true if the process was paused since the last one;
+  // the gate then stays closed until Open is called.
   bool OnTick(TimePoint now) {
     const Duration::rep time = now.time_since_epoch().count();
     const Duration::rep last = m_last_tick.load();
@@ -30,7 +32,10 @@
     return was_paused;
   }
 
+  // Reopens the gate after the view has been refreshed.
   void Open() { m_refreshing.store(false); }
+
+  // Whether a pause was detected and the view has not been refreshed since.
   bool IsRefreshing() const { return m_refreshing.load(); }
 
  private:
--- a/src/libs/owner/backendpool.cpp
+++ b/src/libs/owner/backendpool.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-// An idle connection may be closed by the server just when a request is sent on it, which leaves
-// the outcome unknown. A request that must not run twice therefore uses only a connection that was
-// used just before.
+// The server may close an idle connection at the moment a request is sent on it, which leaves the
+// outcome unknown. A request that must not run twice therefore uses only a connection that has been
+// idle for a short time.
 constexpr std::chrono::milliseconds kMaxIdleNotIdempotent{1000};
 constexpr std::chrono::milliseconds kMaxIdle{30000};
-// The server counts from when it sent its answer, and the next request needs some time to arrive.
+// Subtracted from the server's keep-alive time: the server counts from when it sent its response,
+// and the next request needs some time to arrive.
 constexpr std::chrono::milliseconds kKeepAliveMargin{500};
 
 }  // namespace
 
-// The connections of one worker thread. All members run on that thread.
+// Manages the connections of one worker thread. All member functions are called on that thread.
 class BackendPool::Shard : public BackendEvents {
  public:
   explicit Shard(BackendAnswerHandler& handler) : m_handler(handler) {}
@@ -32,7 +33,7 @@
 
   void SendRequest(OwnedCallId call, const BackendRequest& request) {
     const ConnectionId id = AcquireConnection(request.idempotent);
-    m_call_by_connection[id] = call;
+    m_active_calls[id] = call;
     m_connection_by_call[call] = id;
     m_connections.at(id)->Send(request.request, request.credit, request.timeout, request.check);
   }
@@ -53,14 +54,13 @@
 
   void Clear() {
     m_idle.clear();
-    m_call_by_connection.clear();
+    m_active_calls.clear();
     m_connection_by_call.clear();
     m_connections.clear();
   }
 
   void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) override {
-    if (!part.last)
-      return m_handler.OnAnswerPart(m_call_by_connection.at(connection), std::move(part));
+    if (!part.last) return m_handler.OnAnswerPart(m_active_calls.at(connection), std::move(part));
     const OwnedCallId call = RemoveCall(connection);
     if (reusable) {
       m_idle.push_back(connection);
@@ -82,16 +82,17 @@
   }
 
  private:
+  // Returns the idle connection that was used last if it is fresh enough, else a new connection.
   ConnectionId AcquireConnection(bool idempotent) {
     const TimePoint now = MonotonicNow();
     while (!m_idle.empty()) {
-      const ConnectionId id = m_idle.back();  // The one used last.
+      const ConnectionId id = m_idle.back();  // The most recently used one.
       m_idle.pop_back();
       const BackendConnection& connection = *m_connections.at(id);
       const Duration idle = now - connection.IdleSince();
       Duration max_idle = idempotent ? Duration(kMaxIdle) : Duration(kMaxIdleNotIdempotent);
-      if (const std::optional<Duration> kept = connection.KeptIdleFor()) {
-        max_idle = std::min<Duration>(max_idle, *kept - kKeepAliveMargin);
+      if (const std::optional<Duration> keep_alive = connection.KeptIdleFor()) {
+        max_idle = std::min<Duration>(max_idle, *keep_alive - kKeepAliveMargin);
       }
       if (idle < max_idle) return id;
       DiscardConnection(id);
@@ -101,14 +102,16 @@
     return id;
   }
 
+  // Removes the call that runs on a connection, and returns its id.
   OwnedCallId RemoveCall(ConnectionId connection) {
-    const OwnedCallId call = m_call_by_connection.at(connection);
-    m_call_by_connection.erase(connection);
+    const OwnedCallId call = m_active_calls.at(connection);
+    m_active_calls.erase(connection);
     m_connection_by_call.erase(call);
     return call;
   }
 
-  // The connection may be the sender of the present event, so it is deleted later.
+  // Closes a connection and removes it. The connection may be the sender of the event that is being
+  // handled, so the object is deleted later.
   void DiscardConnection(ConnectionId connection) {
     const auto found = m_connections.find(connection);
     if (found == m_connections.end()) return;
@@ -121,9 +124,9 @@
   Endpoint m_server;
   std::uint64_t m_next_connection = 1;
   std::unordered_map<ConnectionId, std::unique_ptr<BackendConnection>> m_connections;
-  std::unordered_map<ConnectionId, OwnedCallId> m_call_by_connection;
+  std::unordered_map<ConnectionId, OwnedCallId> m_active_calls;
   std::unordered_map<OwnedCallId, ConnectionId> m_connection_by_call;
-  std::vector<ConnectionId> m_idle;  // The one used last is at the end.
+  std::vector<ConnectionId> m_idle;  // The most recently used one is last.
 };
 
 BackendPool::BackendPool(std::span<const std::unique_ptr<EventThread>> workers,
--- a/src/libs/owner/backendpool.h
+++ b/src/libs/owner/backendpool.h
@@ -16,27 +16,30 @@
 
 namespace damaskhollow {
 
-// Gets the answers of the backend server. Members are called on worker threads, for one call always
-// on the same.
+// Receives the responses of the backend server. Member functions are called on worker threads, and
+// always on the same thread for one call.
 class BackendAnswerHandler {
  public:
   virtual ~BackendAnswerHandler() = default;
 
+  // Called with each part of the response, in order.
   virtual void OnAnswerPart(OwnedCallId call, AnswerPart part) = 0;
+  // Called once if the request failed; no parts follow. `may_have_run` is false only if the server
+  // cannot have received the request.
   virtual void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) = 0;
 };
 
-// A request to the backend server.
+// A request to the backend server and the conditions for its response.
 struct BackendRequest {
   HttpRequest request;
-  std::size_t credit = 0;  // Bytes of body that may be sent on before AddCredit.
+  std::size_t credit = 0;  // Bytes of response body that may be passed on without AddCredit.
   std::chrono::milliseconds timeout{};
   bool idempotent = false;
   AnswerCheck check;
 };
 
-// The connections to the backend server, spread over the worker threads. Commands may be called
-// from any thread.
+// Manages the connections to the backend server, which are distributed over the worker threads. The
+// functions up to and including Cancel may be called from any thread.
 class BackendPool {
  public:
   BackendPool(std::span<const std::unique_ptr<EventThread>> workers, BackendAnswerHandler& handler);
@@ -44,16 +47,20 @@
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
 
-  // Connects to another address from now on.
+  // Sets the address for new connections. Idle connections to another address are closed.
   void SetServer(const Endpoint& server);
 
+  // Sends a request on an idle or a new connection. The response is reported to the handler.
   void SendRequest(OwnedCallId call, BackendRequest request);
+
+  // Allows `bytes` more of the call's response body to be passed on.
   void AddCredit(OwnedCallId call, std::size_t bytes);
 
-  // Closes the call's connection; no more answers are reported for it.
+  // Closes the call's connection. Nothing more is reported for the call.
   void Cancel(OwnedCallId call);
 
-  // Closes all connections. The worker threads must still run.
+  // Closes all connections and waits until this is done. The worker threads must be running; must
+  // not be called on one of them.
   void Stop();
 
  private:
--- a/src/libs/owner/claimservice.cpp
+++ b/src/libs/owner/claimservice.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Covers a round trip between regions and the replacement of a silent link.
+// Covers a round trip between regions plus the replacement of a silent link.
 constexpr std::chrono::milliseconds kReleaseTimeout{1000};
 constexpr std::chrono::seconds kSweepInterval{1};
 
@@ -99,7 +99,7 @@
 
 std::vector<ClaimResult> ClaimService::Tick(TimePoint now, WallTime wall) {
   std::vector<ClaimResult> results;
-  // Queries are numbered in the order in which they time out.
+  // Query ids ascend in the order in which the queries time out.
   while (!m_queries.empty() && m_claims.at(m_queries.begin()->second).timeout_at <= now) {
     results.push_back(ResolveQuery(m_queries.begin(), Reason::kHomeUnreachable));
   }
@@ -120,18 +120,18 @@
   if (found == m_claims.end()) return;
   KeptRequestAnswer& answer = found->second.answer;
   if (chunk.has_head()) answer.head = chunk.head().SerializeAsString();
-  // One byte over the limit is enough to show that the answer is too large.
+  // One byte over the limit is enough to mark the response as too large to store.
   if (answer.Bytes() > m_limits.answer_bytes) return;
   answer.body.append(chunk.data(), 0, m_limits.answer_bytes + 1);
 }
 
-void ClaimService::RecordOutcome(OwnedCallId call, ClaimOutcome end, Reason reason) {
+void ClaimService::RecordOutcome(OwnedCallId call, ClaimOutcome outcome, Reason reason) {
   const auto found = m_claims.find(call);
   if (found == m_claims.end()) return;
   Claim claim = std::move(found->second);
   m_claims.erase(found);
   m_queries.erase(claim.query);
-  switch (end) {
+  switch (outcome) {
     case ClaimOutcome::kNotRun:
       return m_registry.NoteNotRun(claim.request_id);
     case ClaimOutcome::kRan:
--- a/src/libs/owner/claimservice.h
+++ b/src/libs/owner/claimservice.h
@@ -16,10 +16,10 @@
 
 namespace damaskhollow {
 
-// A call that waited for other servers and may now run, or is refused.
+// The result for a call that waited for other owners to release its request id.
 struct ClaimResult {
   OwnedCallId call;
-  Reason refusal = Reason::kNone;
+  Reason refusal = Reason::kNone;  // kNone if the call may run.
 };
 
 // How a call with a request id ended.
@@ -29,60 +29,66 @@
   kMayHaveRun,
 };
 
-// Runs the protocol of the request registry with other owners: asks them to release a request id,
-// answers their questions, and copies small answers for the registry. Its user holds a lock around
-// each member.
+// Ensures together with the other owners of a service that a request id runs at most once: requests
+// the release of an id from them, answers their release requests, and copies small responses into
+// the request registry for replay. Not thread-safe; OwnerService calls it under its lock.
 class ClaimService {
  public:
   ClaimService(BackendServerId self, WallTime started, Messenger& messenger);
 
-  // From the fleet's membership; without it no server counts as absent.
+  // Sets the lookup of absent servers, which is backed by the fleet's membership. Without it, no
+  // server counts as absent.
   void SetAbsentSince(AbsentSince absent_since) { m_absent_since = std::move(absent_since); }
 
-  // Takes the inventory of this server's service.
+  // Sets the servers of this server's service from a declaration with the given version.
   void SetInventory(const Declaration& declaration, const ServiceId& service, std::uint64_t version,
                     WallTime wall);
 
-  // Notes what another owner says of itself.
+  // Records the state that another owner reported about itself.
   void RecordPeerState(const BackendServerId& peer, const wire::OwnerState& state, WallTime wall);
 
-  // Decides about a call with a request id. After kAsk the call is named by a ClaimResult. After
-  // kAccept and kAsk its end is to be reported by RecordOutcome.
+  // Decides whether a call with a request id may run. After kAsk, the decision follows as a
+  // ClaimResult. After kAccept and kAsk, RecordOutcome must be called when the call ends.
   RequestDecision Start(OwnedCallId call, const std::string& request_id, std::string_view digest,
                         TimePoint now, WallTime wall);
 
-  // Whether the call was accepted as the first of its request id that may run.
+  // Whether the call was accepted as the first send of its request id that may run.
   bool IsAccepted(OwnedCallId call) const;
 
-  // Copies a part of the call's answer.
+  // Appends a part of the call's response to the copy that is kept for replay.
   void RecordChunk(OwnedCallId call, const wire::ResponseChunk& chunk);
 
-  // `reason` is for kMayHaveRun. Does nothing for a call without a request id.
-  void RecordOutcome(OwnedCallId call, ClaimOutcome end, Reason reason = Reason::kNone);
+  // Records how a call ended. `reason` is used only with kMayHaveRun. Does nothing for a call
+  // without a request id.
+  void RecordOutcome(OwnedCallId call, ClaimOutcome outcome, Reason reason = Reason::kNone);
 
-  // Answers another home that asks for an id. `state` is this owner's own.
+  // Answers another owner's request to release an id. `state` is the state of this owner, which is
+  // sent along.
   void HandleRelease(const ReplyRoute& route, const wire::ClaimRelease& release,
                      const wire::OwnerState& state, WallTime wall);
 
+  // Processes the reply to a release request. Returns the call that is decided by it, if any.
   std::vector<ClaimResult> HandleReleased(const BackendServerId& peer,
                                           const wire::ClaimReleased& released, WallTime wall);
 
-  // A ClaimRelease was not handed to the network.
+  // Called when a ClaimRelease could not be handed to the network. Refuses the call that
+  // waits for it.
   std::vector<ClaimResult> HandleSendFailed(const wire::ClaimRelease& release);
 
-  // Gives up on servers that do not answer, and forgets old ids.
+  // Refuses calls whose release requests have timed out, and erases expired request ids.
   std::vector<ClaimResult> Tick(TimePoint now, WallTime wall);
 
  private:
   struct Claim {
     std::string request_id;
     bool is_accepted = false;
-    std::uint64_t query = 0;  // 0 when no answer is awaited.
+    std::uint64_t query = 0;  // Id of the release query; 0 if none is pending.
     std::set<BackendServerId> awaited_peers;
     TimePoint timeout_at{};
-    KeptRequestAnswer answer;  // What has arrived of it, up to the limit.
+    KeptRequestAnswer answer;  // The part received so far, up to the size limit.
   };
 
+  // Ends a pending release query. kNone as the reason accepts the call.
   ClaimResult ResolveQuery(std::map<std::uint64_t, OwnedCallId>::iterator query, Reason refusal);
 
   Messenger& m_messenger;
@@ -90,7 +96,7 @@
   RequestRegistry m_registry;
   AbsentSince m_absent_since;
   std::map<OwnedCallId, Claim> m_claims;
-  std::map<std::uint64_t, OwnedCallId> m_queries;  // Those that await answers.
+  std::map<std::uint64_t, OwnedCallId> m_queries;  // Pending queries by id.
   std::uint64_t m_next_query = 1;
   TimePoint m_next_sweep{};
 };
--- a/src/libs/owner/crashreporter.cpp
+++ b/src/libs/owner/crashreporter.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// The connections of a process that died are reset at once. Calls that still run after this time
-// show that the process lives.
+// The operating system resets all connections of a crashed process at once. Calls that still run
+// after this time show that the process has not crashed.
 constexpr std::chrono::milliseconds kConnectionResetWindow{500};
-// A connection that is neither accepted nor refused in this time proves nothing.
+// A connection attempt that is neither accepted nor refused within this time is inconclusive.
 constexpr std::chrono::milliseconds kConnectTimeout{1500};
 
 }  // namespace
--- a/src/libs/owner/crashreporter.h
+++ b/src/libs/owner/crashreporter.h
@@ -17,11 +17,13 @@
 
 namespace damaskhollow {
 
-// Tells crashes of this node's backend server from connections that closed for other reasons, and
-// reports them to the peers. Lives on the main thread.
+// Detects crashes of this node's backend server and reports them to the peers. When a connection
+// closes with a call in flight, it checks whether other calls still run and whether the server
+// still accepts connections, to distinguish a crash from other causes. Used on the main thread
+// only.
 class CrashReporter {
  public:
-  // Whether a call that was dispatched before the given time still runs.
+  // Whether a call that was dispatched before the given time is still running.
   using HasRunningCallDispatchedBefore = std::function<bool(TimePoint)>;
   using LinkedPeers = std::function<std::vector<BackendServerId>()>;
 
@@ -29,7 +31,7 @@
                 MetricsRegistry& metrics, Messenger& messenger);
   ~CrashReporter();
 
-  // To be called every few milliseconds, with the address of the backend server.
+  // Must be called every few milliseconds. `server` is the address of the backend server.
   void Tick(const Endpoint& server,
             const HasRunningCallDispatchedBefore& has_running_call_dispatched_before,
             const LinkedPeers& linked_peers);
@@ -37,11 +39,17 @@
  private:
   enum class Probe { kNone, kRunning, kConnected, kRefused };
 
+  // Decides whether the aborted calls were caused by a crash.
   void CheckAborted(const Endpoint& server,
                     const HasRunningCallDispatchedBefore& has_running_call_dispatched_before,
                     const LinkedPeers& linked_peers);
+
+  // Starts connecting to the backend server. A refused connection confirms a crash.
   void StartProbe(const Endpoint& server);
   void EndProbe(Probe result);
+
+  // Sends the digests of requests to the linked peers: requests that completed although they were
+  // suspects, or those that were in flight during a crash.
   void SendReport(std::span<const std::string> digests, bool completed,
                   const LinkedPeers& linked_peers);
 
--- a/src/libs/owner/loadprobe.cpp
+++ b/src/libs/owner/loadprobe.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The health path answers at once; a later answer says nothing of the present load.
+// The health path answers immediately; a later response does not reflect the present load.
 constexpr std::chrono::milliseconds kProbeTimeout{20};
 constexpr std::size_t kProbeBodyBytes = 64UL * 1024UL;
 
@@ -71,7 +71,7 @@
 
 void LoadProbe::OnBackendIdleClosed(ConnectionId) { DiscardConnection(); }
 
-// The connection may be the sender of the present event.
+// The connection may be the sender of the event that is being handled, so it is deleted later.
 void LoadProbe::DiscardConnection() {
   if (!m_connection) return;
   m_connection->Abort();
--- a/src/libs/owner/loadprobe.h
+++ b/src/libs/owner/loadprobe.h
@@ -15,17 +15,19 @@
 
 namespace damaskhollow {
 
-// Asks the own backend server for its load on its health path when the owner wants to know. Lives
-// on the main thread; members that say so may be called from any thread.
+// Queries the load of this node's backend server with a request to its health path when the owner
+// service requests it. Must be created and destroyed on the main thread, and used only there except
+// for Request.
 class LoadProbe : public QObject, public BackendEvents {
  public:
   LoadProbe(const CallConvention& convention, MetricsRegistry& metrics, OwnerService& owner);
   ~LoadProbe() override;
 
-  // Takes address and health path of the own server from a declaration.
+  // Sets address and health path of this node's backend server from a declaration.
   void Configure(const Declaration& declaration, const BackendServerId& self);
 
-  // Starts a probe; the owner is told its end. From any thread.
+  // Starts a probe unless one is running. The result is reported through OnProbedLoad or
+  // OnProbeFailed of the owner service. May be called from any thread.
   void Request();
 
  private:
@@ -39,11 +41,11 @@
   MetricsRegistry& m_metrics;
   OwnerService& m_owner;
   Endpoint m_server;
-  std::string m_path;  // Empty if there is nothing to ask.
+  std::string m_path;  // Empty if the service has no health path.
   std::unique_ptr<BackendConnection> m_connection;
   std::uint64_t m_next_connection = 1;
   bool m_is_running = false;
-  std::string m_load;  // Of the answer being read.
+  std::string m_load;  // Load header of the response being read.
 };
 
 }  // namespace damaskhollow
--- a/src/libs/owner/ownedcalls.h
+++ b/src/libs/owner/ownedcalls.h
@@ -15,72 +15,79 @@
 namespace damaskhollow {
 
 enum class OwnedCallState {
-  kClaiming,  // Other servers are asked to release its request id.
-  kHeld,      // Suspected of a crash, and another suspect is queued or running.
+  kClaiming,  // Waits for other owners to release its request id.
+  kHeld,      // Suspected of crashing servers; waits until no other suspect is queued or running.
   kQueued,
   kRunning,
 };
 
-// A call at its owner, from its arrival to its end.
+// State of one call at its owner, from arrival to completion.
 struct OwnedCall {
   CallKey key;
   ReplyRoute route;
-  wire::CallRequest request;  // Without its body once it is dispatched.
+  wire::CallRequest request;  // The body is cleared at dispatch.
   std::string log_id;
   OwnedCallState state = OwnedCallState::kQueued;
   TimePoint arrived{};
   TimePoint dispatched_at{};
-  ServerCondition condition;     // Of the backend server at the dispatch.
-  bool discard_answer = false;   // The ingress no longer waits for it.
-  bool shed = false;             // The server answered that it did not run it.
-  bool server_was_full = false;  // And that it had no room for it.
+  ServerCondition condition;     // Of the backend server at dispatch.
+  bool discard_answer = false;   // The ingress has cancelled the call.
+  bool shed = false;             // The server reported that it did not run the call.
+  bool server_was_full = false;  // The server rejected the call for lack of free slots.
   std::uint32_t next_sequence = 0;
-  RetransmitBuffer retransmit_buffer;
+  RetransmitBuffer unacked;
 
-  // When the call expires, on this node's clock.
+  // Time at which the call expires, on this node's monotonic clock.
   TimePoint Deadline() const;
 
-  // Until when an answer is in time, on this node's clock; only if the request says so.
+  // Time up to which a response counts as timely, on this node's monotonic clock. Valid only if the
+  // request has a target time.
   TimePoint Target() const;
 };
 
-// The calls at an owner and what it remembers of ended ones. Calls that are looked up by key and
-// not found have ended or were never seen.
+// Holds the active calls of an owner and a record of recently ended ones. A call whose key is not
+// found among the active calls has ended or never arrived. Not thread-safe.
 class OwnedCalls {
  public:
   explicit OwnedCalls(Incarnation self) : m_guard(self) {}
 
-  // Decides about an arriving call. A call that is here already is ignored.
+  // Decides whether an arriving call is accepted, refused or ignored. A call that is already active
+  // is ignored.
   SendDecision CheckArrival(const CallKey& key, const wire::CallRequest& request,
                             TimePoint now) const;
 
-  // Notes that a call was refused at its arrival.
+  // Records that a call was refused on arrival.
   void RecordRefused(const CallKey& key, const wire::CallRequest& request, TimePoint now);
 
+  // Adds an active call and returns its new id.
   OwnedCallId Add(const CallKey& key, const ReplyRoute& route, wire::CallRequest request);
 
-  // The id of a call that is here, or 0.
+  // Returns the id of an active call, or 0.
   OwnedCallId IdOf(const CallKey& key) const;
 
-  // Null if the call has ended.
+  // Returns an active call, or null if it has ended.
   OwnedCall* Find(OwnedCallId id);
+
+  // Returns a call that must be active.
   OwnedCall& At(OwnedCallId id) { return m_calls.at(id); }
 
-  // The calls that have not been dispatched.
+  // Returns the active calls that have not been dispatched.
   std::vector<OwnedCallId> Waiting() const;
 
-  // Removes a call that ended: refused, cancelled before it ran, or after it was dispatched.
+  // Removes an active call and records how it ended: refused, cancelled before it ran, or finished
+  // after dispatch.
   void RemoveRefused(OwnedCallId id, TimePoint now);
   void RemoveCancelled(OwnedCallId id, TimePoint now);
   void RemoveFinished(OwnedCallId id, TimePoint now);
 
-  // What is known of a call that is not here; it will not run after this.
+  // Returns the final state of a call that is not active. A call that has never arrived will be
+  // refused if it arrives later.
   wire::CallState Settle(const CallKey& key, std::uint64_t expires_at_us, TimePoint now);
 
-  // Forgets ended calls that would be refused as expired.
+  // Erases records of ended calls that would be refused as expired if they arrived again.
   void Sweep(TimePoint now);
 
-  // Whether a call that was dispatched before this time still runs.
+  // Whether a call that was dispatched before this time is still running.
   bool HasRunningCallDispatchedBefore(TimePoint before) const;
 
   bool IsEmpty() const { return m_calls.empty(); }
--- a/src/libs/owner/ownerservice.cpp
+++ b/src/libs/owner/ownerservice.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kAnswerWindowBytes = 256UL * 1024UL;
 constexpr std::size_t kRetransmitCacheBytes = 1024UL * 1024UL;
-// Covers the detection of a silent link and the handshake of a new one between regions.
+// Covers the detection of a silent link plus the handshake of its replacement between regions.
 constexpr std::chrono::seconds kRetransmitCacheMaxAge{3};
 constexpr std::chrono::seconds kEndedCallSweepInterval{1};
-// HTTP 421: the request was meant for another server.
+// HTTP 421 Misdirected Request: the request was meant for another server.
 constexpr int kMisdirectedStatus = 421;
 
 }  // namespace
@@ -33,7 +33,7 @@
       m_admission(AdmissionLimits{}, {}),
       m_calls(m_identity.incarnation),
       m_claims(m_identity.server, m_identity.started, m_messenger),
-      m_retransmit_cache(kRetransmitCacheBytes, kRetransmitCacheMaxAge) {}
+      m_retransmits(kRetransmitCacheBytes, kRetransmitCacheMaxAge) {}
 
 void OwnerService::ApplyDeclaration(std::shared_ptr<const Declaration> declaration,
                                     std::uint64_t version) {
@@ -99,7 +99,8 @@
   if (request.server_id() != m_identity.server.Value() || m_service == nullptr) {
     return {Reason::kWrongServer, false};
   }
-  // A VM's address may pass to a server of another service while ingresses still know the old one.
+  // A VM's address may be reassigned to a server of another service while ingresses still route by
+  // the old configuration.
   if (request.service() != m_service->id.Value()) return {Reason::kWrongServer, false};
   const SendDecision decision = m_calls.CheckArrival(key, request, now);
   if (decision.refusal != Reason::kNone || decision.ignore) return decision;
@@ -111,7 +112,7 @@
   const TimePoint now = MonotonicNow();
   const CallKey key = KeyOf(route, request.ingress_incarnation(), request.call_id());
   const SendDecision decision = CheckRequest(key, request, now);
-  if (decision.ignore) return;  // Delivered twice.
+  if (decision.ignore) return;  // Duplicate delivery.
   if (decision.refusal != Reason::kNone) {
     m_calls.RecordRefused(key, request, now);
     return Refuse(route, request.call_id(), decision.refusal, LogIdOf(request, m_convention));
@@ -218,7 +219,7 @@
 void OwnerService::OnProbedLoad(const ServerLoad& load) {
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
-  RecordServerLoad(load, now);
+  RecordLoad(load, now);
   AnswerLoadQueries();
   Dispatch(now);
 }
@@ -228,7 +229,7 @@
   AnswerLoadQueries();
 }
 
-void OwnerService::RecordServerLoad(const ServerLoad& load, TimePoint now) {
+void OwnerService::RecordLoad(const ServerLoad& load, TimePoint now) {
   m_slowness = load.slowness;
   m_pacer.NoteSlowness(load.slowness, now);
 }
@@ -269,12 +270,13 @@
   head.ParseFromString(answer.head);
   head.set_replayed(true);
   SendPart(id, call, std::move(part), &head);
-  m_retransmit_cache.Store(call.key, std::move(call.retransmit_buffer), MonotonicNow());
+  m_retransmits.Store(call.key, std::move(call.unacked), MonotonicNow());
   m_calls.RemoveFinished(id, MonotonicNow());
 }
 
 void OwnerService::Dispatch(TimePoint now) {
-  // After a pause, the next tick first refuses what has expired, and the view is refreshed.
+  // After a pause of the process, expired calls must be refused by the next tick, and the view must
+  // be refreshed, before anything is dispatched.
   if (m_pause_detector.IsOverdue(now) || !IsViewFresh(now)) return;
   m_admission.SetMostInFlight(m_pacer.MostInFlight(m_admission.Slots()));
   bool is_holding = false;
@@ -337,8 +339,8 @@
       m_claims.RecordOutcome(id, ClaimOutcome::kNotRun);  // An idempotent request may run again.
       Finish(id, SlotResult::kFailed);
     } else {
-      // Cutting it off would leave its effect uncertain, so it runs to its end and the answer is
-      // dropped.
+      // Aborting a request that is not idempotent would leave its effect unknown, so it runs to
+      // completion and its response is discarded.
       m_pool->AddCredit(id, static_cast<std::size_t>(1) << 40U);
     }
   }
@@ -356,8 +358,8 @@
     call->route = route;
     result.set_call_state(call->state == OwnedCallState::kRunning ? wire::CALL_STATE_RUNNING
                                                                   : wire::CALL_STATE_QUEUED);
-    missing = call->retransmit_buffer.MessagesFrom(query.next_sequence());
-  } else if (const RetransmitBuffer* cached = m_retransmit_cache.Find(key); cached != nullptr) {
+    missing = call->unacked.MessagesFrom(query.next_sequence());
+  } else if (const RetransmitBuffer* cached = m_retransmits.Find(key); cached != nullptr) {
     result.set_call_state(wire::CALL_STATE_DONE);
     missing = cached->MessagesFrom(query.next_sequence());
   } else {
@@ -373,7 +375,7 @@
   const OwnedCallId id = m_calls.IdOf(KeyOf(route, credit.ingress_incarnation(), credit.call_id()));
   OwnedCall* call = m_calls.Find(id);
   if (call == nullptr) return;
-  call->retransmit_buffer.OnCredit(credit.bytes());
+  call->unacked.OnCredit(credit.bytes());
   m_pool->AddCredit(id, credit.bytes());
 }
 
@@ -387,7 +389,7 @@
       .With("limit", static_cast<std::int64_t>(load.limit))
       .With("queue_delay_us", load.queue_delay.count());
   wire::Envelope message;
-  // Some refusals concern an earlier send of the request, which may have run.
+  // Some refusals are due to an earlier send of the same request, which may have run.
   if (InfoOf(reason).outcome == Outcome::kNotRun) {
     message.mutable_refused()->set_call_id(call_id);
     message.mutable_refused()->set_reason(static_cast<std::uint32_t>(reason));
@@ -443,7 +445,7 @@
   return m_service != nullptr && m_service->shed_status == head.status;
 }
 
-std::optional<ServerLoad> OwnerService::LoadFromHeader(const HttpResponseHead& head) const {
+std::optional<ServerLoad> OwnerService::ParseLoad(const HttpResponseHead& head) const {
   if (m_convention.decode_load == nullptr) return std::nullopt;
   const std::string_view text = FindHeader(head.headers, m_convention.load);
   return text.empty() ? std::nullopt : m_convention.decode_load(text);
@@ -451,13 +453,12 @@
 
 bool OwnerService::IsServerFull(const HttpResponseHead& head) const {
   if (head.status == kMisdirectedStatus) return false;
-  const std::optional<ServerLoad> load = LoadFromHeader(head);
+  const std::optional<ServerLoad> load = ParseLoad(head);
   return !load || load->running + load->waiting >= load->slots;
 }
 
 void OwnerService::RecordLoadHeader(const HttpResponseHead& head) {
-  if (const std::optional<ServerLoad> load = LoadFromHeader(head))
-    RecordServerLoad(*load, MonotonicNow());
+  if (const std::optional<ServerLoad> load = ParseLoad(head)) RecordLoad(*load, MonotonicNow());
 }
 
 void OwnerService::RecordDrainHeader(const HttpResponseHead& head) {
@@ -494,7 +495,7 @@
   m_claims.RecordChunk(id, chunk);
   if (call.discard_answer) return;
   if (chunk.has_head() || chunk.last()) *chunk.mutable_state() = LockedState();
-  call.retransmit_buffer.Add(chunk);
+  call.unacked.Add(chunk);
   m_messenger.Reply(call.route, std::move(message));
 }
 
@@ -508,8 +509,7 @@
     Finish(id, call.server_was_full ? SlotResult::kShed : SlotResult::kFailed);
     return Refuse(route, call_id, Reason::kBackendShed, log_id, request_id_not_run);
   }
-  if (!call.discard_answer)
-    m_retransmit_cache.Store(call.key, std::move(call.retransmit_buffer), MonotonicNow());
+  if (!call.discard_answer) m_retransmits.Store(call.key, std::move(call.unacked), MonotonicNow());
   m_claims.RecordOutcome(id, ClaimOutcome::kRan);
   m_crash_guard.RecordLocalCompletion(call.request.digest());
   m_pacer.NoteCompleted(PriorityId(call.request.priority()), MonotonicNow() - call.dispatched_at,
@@ -562,7 +562,7 @@
   HandleClaimResults(m_claims.Tick(now, WallNow()));
   AdmitHeldSuspects(now);
   Dispatch(now);
-  m_retransmit_cache.EvictExpired(now);
+  m_retransmits.EvictExpired(now);
   const AdmissionLoad load = m_admission.Load();
   m_metrics.Set(Metric::kQueuedCalls, load.queued);
   m_metrics.Set(Metric::kInFlightCalls, load.in_flight);
--- a/src/libs/owner/ownerservice.h
+++ b/src/libs/owner/ownerservice.h
@@ -30,74 +30,92 @@
 
 namespace damaskhollow {
 
-// The owner role: the only way to the backend server beside this node. Its state is one shard under
-// one lock. All members may be called from any thread.
+// Implements the owner role: admits, queues and dispatches the calls to this node's backend server.
+// No other node sends requests to that server. One lock guards the state; all public members may
+// be called from any thread.
 class OwnerService : public BackendAnswerHandler {
  public:
   OwnerService(NodeIdentity identity, MetricsRegistry& metrics, Messenger& messenger,
                SharedCrashGuard& crash_guard, const CallConvention& convention,
                RequestLog& request_log);
 
-  // Must be called before the first message.
+  // Sets the connection pool to the backend server. Must be called before the first message.
   void SetBackendPool(BackendPool* pool) { m_pool = pool; }
 
-  // Applies a declaration: address, slots, priorities, limits of the backend server.
+  // Applies address, slots, priorities and limits of the backend server from a declaration.
   void ApplyDeclaration(std::shared_ptr<const Declaration> declaration, std::uint64_t version);
 
-  // Handles CallRequest, Cancel, StatusQuery, Credit, ClaimRelease and ClaimReleased.
+  // Handles CallRequest, Cancel, StatusQuery, Credit, LoadQuery, ClaimRelease and ClaimReleased
+  // messages; ignores all others.
   void HandleMessage(const ReplyRoute& route, wire::Envelope message);
 
-  // A message of this role was not handed to the network.
+  // Called when a message sent by this service could not be handed to the network.
   void HandleSendFailed(const wire::Envelope& message);
 
-  // `probe` asks the backend server for its load; OnProbedLoad is called with what it says, or
-  // OnProbeFailed. Without it, load queries are answered with what is known. From any thread.
+  // Sets a function that starts a load probe of the backend server and reports the result through
+  // OnProbedLoad or OnProbeFailed. The function may be called on any thread. Without it, load
+  // queries are answered from the last reported load.
   void SetLoadProbe(std::function<void()> probe);
   void OnProbedLoad(const ServerLoad& load);
   void OnProbeFailed();
 
-  // Notes what another owner says of itself.
+  // Records the state that another owner reported about itself.
   void RecordPeerState(const BackendServerId& peer, const wire::OwnerState& state);
 
-  // From the fleet's membership; without it no server counts as absent.
+  // Sets the lookup of absent servers, which is backed by the fleet's membership. Without it, no
+  // server counts as absent.
   void SetAbsentSince(AbsentSince absent_since);
 
-  // Refuses new calls from now on; those queued and in flight are finished.
+  // Refuses new calls from now on; queued and running calls are finished.
   void StartDrain();
 
-  // Sets whether the backend server itself is leaving; it takes new calls again when it no longer
-  // is, unless StartDrain was called.
+  // Sets whether the backend server itself is leaving. New calls are refused while it is; they are
+  // accepted again afterwards unless StartDrain was called.
   void SetBackendLeaving(bool leaving);
 
-  // What the backend server's answers said in Damaskhollow-Drain since the last call of this: true
-  // if any said that it leaves, false if they said that it does not, empty if none said anything.
+  // Returns and resets what the backend server's responses have announced in the Damaskhollow-Drain
+  // header: true if any announced that the server is leaving, false if all headers announced that
+  // it stays, empty if no response carried the header.
   std::optional<bool> PopDrainHeader();
 
-  // New calls are refused and queued ones wait while the gate is closed. Must be called before the
-  // first message.
+  // Sets the gate that checks whether this node's view of the fleet is up to date. While it is
+  // closed, new calls are refused and queued ones wait. Must be called before the first message.
   void SetViewGate(const ViewGate* gate) { m_view_gate = gate; }
 
-  // Expires queued calls and forgets what is no longer needed. To be called every few milliseconds.
+  // Expires queued calls, dispatches calls that have become ready, and evicts outdated records.
+  // Must be called every few milliseconds.
   void Tick(TimePoint now);
 
+  // Returns the load and state that are reported to peers.
   wire::OwnerState State() const;
+
+  // Whether new calls are refused because this node or its backend server is leaving.
   bool IsDraining() const;
-  // Whether a call that was dispatched before this time still runs.
+
+  // Whether a call that was dispatched before this time is still running.
   bool HasRunningCallDispatchedBefore(TimePoint before) const;
-  // Whether no call is queued or running.
+
+  // Whether the service holds no call, in whatever state.
   bool IsIdle() const;
 
   void OnAnswerPart(OwnedCallId call, AnswerPart part) override;
   void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) override;
 
  private:
-  // The members below expect m_lock to be held.
+  // All member functions below expect m_lock to be held.
+
   void RecordDrainHeader(const HttpResponseHead& head);
   void RecordLoadHeader(const HttpResponseHead& head);
+
+  // Whether a response states that the backend server did not run the request: by the header that
+  // the convention defines, else by the service's shed status.
   bool IsMarkedNotRun(const HttpResponseHead& head) const;
-  std::optional<ServerLoad> LoadFromHeader(const HttpResponseHead& head) const;
-  // Whether a call was turned away for lack of room; so taken where the answer tells no load.
+  std::optional<ServerLoad> ParseLoad(const HttpResponseHead& head) const;
+
+  // Whether the response to a rejected call shows that the server had no free slot. Assumed if the
+  // response has no load header, except for status 421.
   bool IsServerFull(const HttpResponseHead& head) const;
+
   bool IsViewFresh(TimePoint now) const {
     return m_view_gate == nullptr || m_view_gate->IsOpen(now);
   }
@@ -106,36 +124,72 @@
   void HandleStatusQuery(const ReplyRoute& route, const wire::StatusQuery& query);
   void HandleCredit(const ReplyRoute& route, const wire::Credit& credit);
   void HandleLoadQuery(const ReplyRoute& route, const wire::LoadQuery& query);
+
+  // Replies with the current load and with the expected time until the call would be answered.
   void AnswerLoadQuery(const ReplyRoute& route, const wire::LoadQuery& query);
+
+  // Ends the current probe and answers all load queries that wait for it.
   void AnswerLoadQueries();
-  void RecordServerLoad(const ServerLoad& load, TimePoint now);
+
+  void RecordLoad(const ServerLoad& load, TimePoint now);
+
+  // Returns the index of a priority, or that of the least urgent one if the priority is unknown.
   std::size_t PriorityIndexOf(const std::string& priority) const;
+
+  // Starts a load probe unless one is running.
   void StartProbe();
+
+  // Decides whether an arriving call is accepted, refused or ignored as a duplicate.
   SendDecision CheckRequest(const CallKey& key, const wire::CallRequest& request,
                             TimePoint now) const;
+
+  // Claims the request id of a call, then admits, refuses or replays the call. If other owners must
+  // release the id first, the call waits for HandleClaimResults.
   void StartClaim(OwnedCallId id, OwnedCall& call, TimePoint now);
+
+  // Admits or refuses the calls whose claims are decided.
   void HandleClaimResults(std::span<const ClaimResult> claims);
+
+  // Queues a call for a slot of the backend server, or refuses it.
   void Admit(OwnedCallId id, TimePoint now);
-  // Whether the call is refused or held back because it may crash the backend server.
+
+  // Refuses a call that is banned for crashing backend servers, and holds it while another suspect
+  // is queued or running. Returns false if the call may be admitted now.
   bool HoldOrRefuse(OwnedCallId id, OwnedCall& call);
-  // Admits held suspects that may run now.
+
+  // Admits the held suspects that may run now, and refuses those that have expired.
   void AdmitHeldSuspects(TimePoint now);
+
+  // Answers a call with the stored response to an earlier send of the same request.
   void Replay(OwnedCallId id, OwnedCall& call, const KeptRequestAnswer& answer);
+
+  // Sends to the backend server the queued calls for which there are free slots.
   void Dispatch(TimePoint now);
   void RunCall(OwnedCallId id, OwnedCall& call, TimePoint now);
-  // `request_id_not_run`: the call has a request id, and no send of that id has run.
+
+  // Reports to the ingress that a call was refused, or that it failed if it may have run.
+  // `request_id_not_run` states that the call has a request id and that no send of it has run.
   void Refuse(const ReplyRoute& route, std::uint64_t call_id, Reason reason,
               std::string_view log_id, bool request_id_not_run = false);
-  // Refuses a call that is not running, and forgets it.
+
+  // Refuses a call that was not dispatched, and removes it.
   void RefuseNotRun(OwnedCallId id, Reason reason);
-  // Refuses the calls that wait for another service than the server's, which has got the VM's
-  // address since they arrived.
+
+  // Refuses waiting calls whose service is not the one of the present backend server. This happens
+  // when the VM's address is reassigned to a server of another service after the calls arrived.
   void RefuseCallsOfOtherServices();
-  // `replayed_head` stands for the part's own head if it is not null.
+
+  // Sends a part of a response to the ingress. `replayed_head` replaces the part's own head unless
+  // it is null.
   void SendPart(OwnedCallId id, OwnedCall& call, AnswerPart part,
                 const wire::ResponseHead* replayed_head);
+
+  // Ends a call whose response is complete.
   void FinishAnswered(OwnedCallId id, OwnedCall& call);
+
+  // Removes a dispatched call, frees its slot and dispatches the next calls.
   void Finish(OwnedCallId id, SlotResult result);
+
   wire::OwnerState LockedState() const;
   CallKey KeyOf(const ReplyRoute& route, std::uint64_t incarnation, std::uint64_t call_id) const;
 
@@ -151,21 +205,21 @@
   mutable std::mutex m_lock;
   std::shared_ptr<const Declaration> m_declaration;
   std::uint64_t m_configuration_version = 0;
-  const Service* m_service = nullptr;  // In m_declaration.
-  std::string m_instance;              // Incarnation of the backend server, if known.
-  double m_slowness = 1.0;             // As the backend server said last.
+  const Service* m_service = nullptr;  // Points into m_declaration.
+  std::string m_instance;              // Incarnation of the backend server; empty if unknown.
+  double m_slowness = 1.0;             // Last value reported by the backend server.
   ServerPacer m_pacer;
   std::function<void()> m_probe;
   bool m_is_probing = false;
-  std::vector<std::pair<ReplyRoute, wire::LoadQuery>> m_load_queries;  // That wait for a probe.
+  std::vector<std::pair<ReplyRoute, wire::LoadQuery>> m_load_queries;  // Waiting for a probe.
   AdmissionQueue m_admission;
   OwnedCalls m_calls;
   SuspectGate m_suspect_gate;
   ClaimService m_claims;
   PauseDetector m_pause_detector;
   TimePoint m_next_sweep{};
-  RetransmitCache m_retransmit_cache;
-  bool m_draining = false;  // By StartDrain.
+  RetransmitCache m_retransmits;
+  bool m_draining = false;  // Set by StartDrain.
   bool m_backend_leaving = false;
   std::optional<bool> m_drain_header;
 };
--- a/src/libs/owner/retransmitcache.cpp
+++ b/src/libs/owner/retransmitcache.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The memory of a chunk counts with its head, which may be much larger than its data.
+// The head counts too, as it may be much larger than the data.
 std::size_t SizeOf(const wire::ResponseChunk& chunk) { return chunk.ByteSizeLong(); }
 
 }  // namespace
@@ -18,7 +18,7 @@
 
 void RetransmitBuffer::OnCredit(std::size_t credited) {
   m_credited += credited;
-  // Any credit shows that the empty chunks before the credited bytes have arrived.
+  // Credit for any byte implies that the empty chunks before it have arrived.
   while (m_credited > 0 && !chunks.empty() && !chunks.front().last() &&
          m_credited >= chunks.front().data().size()) {
     m_credited -= chunks.front().data().size();
@@ -31,7 +31,7 @@
   std::vector<wire::Envelope> messages;
   for (const wire::ResponseChunk& chunk : chunks) {
     if (chunk.sequence() < next_sequence) continue;
-    // With a gap the answer cannot be completed.
+    // A gap at the start would leave the response incomplete, so nothing is sent.
     if (messages.empty() && chunk.sequence() != next_sequence) break;
     *messages.emplace_back().mutable_response_chunk() = chunk;
   }
--- a/tests/auto/calls/tst_callconvention.cpp
+++ b/tests/auto/calls/tst_callconvention.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::chrono::milliseconds kRetryAfter{250};
 
-// What a caller that reads promises off the status may be told.
+// The expected status for callers that conclude from it whether a call has run.
 struct StatusRow {
   std::string_view name;
   Reason reason;
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, request.headers.size());
   }
 
-  // Guards against a caller that passes for another service, or that picks an instance.
+  // Guards against a caller that claims to be another service, or that selects an instance.
   void CallerCannotNameItsOrigin() {
     HttpRequest request;
     request.headers = {{"caller-service", "forged"}, {"Expect-Instance", "i-1"}, {"Host", "h"}};
--- a/tests/auto/owner/tst_keptanswers.cpp
+++ b/tests/auto/owner/tst_keptanswers.cpp
@@ -22,7 +22,7 @@
   return chunk;
 }
 
-// An answer of three chunks: the head with 100 bytes, 200 bytes, and an empty last one.
+// Returns a response of three chunks: the head with 100 bytes, 200 bytes, and an empty last chunk.
 RetransmitBuffer BufferOfThree() {
   RetransmitBuffer buffer;
   buffer.Add(ChunkOf(0, 100));
@@ -66,7 +66,7 @@
     CPPUNIT_ASSERT(buffer.MessagesFrom(0).front().response_chunk().has_head());
   }
 
-  // Guards against an answer that cannot be sent again because a part was dropped too early.
+  // Guards against a response that cannot be sent again because a chunk was removed too early.
   void KeepsChunksUntilTheyAreCredited() {
     struct Row {
       std::size_t credited;
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT_EQUAL(buffer.chunks.front().ByteSizeLong(), buffer.bytes);
   }
 
-  // Guards against an answer that is relayed with a hole in it.
+  // Guards against a response that is relayed with chunks missing in the middle.
   void SendsNothingAfterAGap() {
     RetransmitBuffer buffer = BufferOfThree();
     buffer.OnCredit(100);
@@ -98,7 +98,7 @@
     CPPUNIT_ASSERT(SequencesFrom(buffer, 0).empty());
   }
 
-  // Guards against memory that grows by answers that have large heads and no body.
+  // Guards against unbounded memory use by responses that have large heads and no body.
   void BoundsBytesIncludingHeads() {
     RetransmitCache cache(10000, std::chrono::seconds(3));
     for (std::uint64_t call = 1; call <= 10; ++call) {
--- a/tests/auto/owner/tst_ownerservice.cpp
+++ b/tests/auto/owner/tst_ownerservice.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Keeps what the owner answers.
+// Records the messages that the owner sends.
 class RecordingMessenger : public Messenger {
  public:
   void Send(const BackendServerId&, wire::Envelope message) override { Record(std::move(message)); }
@@ -56,10 +56,10 @@
   return declaration;
 }
 
-// An owner of the VM 10.0.0.1.
+// Sets up the owner of the VM 10.0.0.1.
 class OwnerFixture {
  public:
-  // Without workers, no call may be dispatched.
+  // With no workers, a test must not let a call be dispatched.
   explicit OwnerFixture(std::size_t workers = 0, CallConvention convention = {})
       : m_convention(std::move(convention)),
         m_workers(MakeWorkers(workers)),
@@ -77,6 +77,7 @@
 
   OwnerService& Owner() { return m_owner; }
 
+  // Sends the owner a call for a service.
   void Call(std::string_view service) {
     wire::Envelope message;
     wire::CallRequest& request = *message.mutable_call_request();
@@ -91,7 +92,7 @@
                           std::move(message));
   }
 
-  // The reasons of the refusals so far; other answers count as kNone.
+  // Returns the reasons of the refusals so far, with kNone for each message of another kind.
   std::vector<Reason> Refusals() const {
     std::vector<Reason> reasons;
     for (const wire::Envelope& message : m_messenger.Messages()) {
@@ -121,8 +122,8 @@
 
 struct AddressRow {
   std::string_view name;
-  std::string own_service;     // Of the server that has the VM's address now.
-  std::string called_service;  // That the ingress takes it for.
+  std::string own_service;     // Of the server that now has the VM's address.
+  std::string called_service;  // Service that the ingress expects there.
   Reason refusal;
 };
 
@@ -142,7 +143,7 @@
 
 struct ReassignedRow {
   std::string_view name;
-  std::string next_service;  // Of the server that gets the VM's address while a call waits.
+  std::string next_service;  // Of the server that is assigned the VM's address while a call waits.
   std::vector<Reason> refusals;
 };
 
@@ -151,12 +152,12 @@
     ReassignedRow{"server of another service", "warehouse", {Reason::kWrongServer}},
 };
 
-// Guards against a call that was taken for one service and is dispatched to the server of another
-// that has got the VM's address since.
+// Guards against a call that is accepted for one service and dispatched to a server of another one,
+// because the VM's address was reassigned in the meantime.
 void TestAddressReassignedWhileCallWaits(const ReassignedRow& row) {
   OwnerFixture fixture;
   fixture.Owner().ApplyDeclaration(DeclarationOf("portal"), 1);
-  // Nothing is dispatched until the owner has ticked again.
+  // A last tick 5 s ago looks like a pause, so nothing is dispatched before the next tick.
   fixture.Owner().Tick(MonotonicNow() - std::chrono::seconds(5));
   fixture.Call("portal");
   CPPUNIT_ASSERT(fixture.Refusals().empty());
@@ -170,8 +171,8 @@
 
 struct RejectedRow {
   std::string_view name;
-  std::string_view answer;  // Of the backend server, without the end of its head.
-  std::uint32_t limit;      // Of calls in flight afterwards; 7 of 9 slots before.
+  std::string_view answer;  // Head of the backend server's response, without its last field.
+  std::uint32_t limit;      // Of calls in flight afterwards; before, 7 with 9 slots.
 };
 
 constexpr std::array kRejectedRows{
@@ -185,9 +186,9 @@
   return ServerLoad{text == "full" ? std::size_t{9} : std::size_t{2}, 0, 9, 1.0};
 }
 
-// Guards against an owner that keeps its server idle because it turns calls away for another reason
-// than lack of room.
-// Pattern: servers that turn away half of their calls while their health check is good.
+// Guards against an owner that leaves its server idle because the server rejects calls for a reason
+// other than lack of free slots. Occurs with servers that reject half of their calls while their
+// health check is good.
 void TestLimitAfterRejection(const RejectedRow& row) {
   const test::ScriptedServer server({std::string(row.answer) + "Content-Length: 0\r\n\r\n"},
                                     test::ScriptedServer::End::kKeepOpen);
