--- a/src/libs/calls/callheaders.cpp
+++ b/src/libs/calls/callheaders.cpp
@@ -129,8 +129,8 @@
   return message;
 }
 
-HttpResponseHead MakeAnswerHead(const wire::ResponseHead& head, const CallConvention& convention,
-                                std::string_view server) {
+HttpResponseHead MakeResponseHead(const wire::ResponseHead& head, const CallConvention& convention,
+                                  std::string_view server) {
   HttpResponseHead answer;
   answer.status = static_cast<int>(head.status());
   for (const wire::Header& header : head.headers()) {
@@ -149,15 +149,15 @@
   return answer;
 }
 
-GeneratedAnswer GenerateAnswer(Reason reason, Outcome outcome, const CallConvention& convention,
-                               std::chrono::milliseconds retry_after) {
+GeneratedResponse GenerateResponse(Reason reason, Outcome outcome, const CallConvention& convention,
+                                   std::chrono::milliseconds retry_after) {
   constexpr int kUnavailable = 503;
   const ReasonInfo& info = InfoOf(reason);
   QJsonObject json;
   json.insert("outcome", ToQString(OutcomeName(outcome)));
   json.insert("reason", ToQString(info.name));
   json.insert("explanation", ToQString(info.explanation));
-  GeneratedAnswer answer;
+  GeneratedResponse answer;
   answer.body = QJsonDocument(json).toJson(QJsonDocument::Compact).toStdString() + "\n";
   answer.head.status =
       convention.status_is_promise ? StatusForOutcome(info.http_status, outcome) : info.http_status;
--- a/src/libs/calls/callheaders.h
+++ b/src/libs/calls/callheaders.h
@@ -34,19 +34,19 @@
 
 // Converts a response head from a wire message to the one for the caller, and adds the fields for
 // outcome, server and replay.
-HttpResponseHead MakeAnswerHead(const wire::ResponseHead& head, const CallConvention& convention,
-                                std::string_view server);
+HttpResponseHead MakeResponseHead(const wire::ResponseHead& head, const CallConvention& convention,
+                                  std::string_view server);
 
 // A response that the node generates itself.
-struct GeneratedAnswer {
+struct GeneratedResponse {
   HttpResponseHead head;
   std::string body;
 };
 
 // Generates the response for a call that ended for `reason`. With status 503, `retry_after` is sent
 // as the time after which the caller may retry.
-GeneratedAnswer GenerateAnswer(Reason reason, Outcome outcome, const CallConvention& convention,
-                               std::chrono::milliseconds retry_after);
+GeneratedResponse GenerateResponse(Reason reason, Outcome outcome, const CallConvention& convention,
+                                   std::chrono::milliseconds retry_after);
 
 }  // namespace damaskhollow
 
--- a/src/libs/ingress/ingressservice.cpp
+++ b/src/libs/ingress/ingressservice.cpp
@@ -67,8 +67,8 @@
   if (connections >= limit) MakeRoom();
   if (connections >= limit + limit / kUrgentReserveDivisor) {
     m_context.metrics.CountRefusal(Reason::kIngressOverloaded);
-    const GeneratedAnswer answer = GenerateAnswer(Reason::kIngressOverloaded, Outcome::kNotRun,
-                                                  m_context.convention, kOverloadedReturn);
+    const GeneratedResponse answer = GenerateResponse(Reason::kIngressOverloaded, Outcome::kNotRun,
+                                                      m_context.convention, kOverloadedReturn);
     auto* socket = new QTcpSocket(this);
     connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
     socket->setSocketDescriptor(descriptor);
--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -293,7 +293,7 @@
   CancelOthers(call, id);
   m_connections.at(attempt.exchange.connection)
       ->StartAnswer(attempt.exchange.number,
-                    MakeAnswerHead(head, m_context.convention, attempt.server.Value()));
+                    MakeResponseHead(head, m_context.convention, attempt.server.Value()));
   return true;
 }
 
@@ -556,8 +556,8 @@
     EndCall(exchange);
   }
   m_context.metrics.CountRefusal(reason);
-  const GeneratedAnswer answer =
-      GenerateAnswer(reason, outcome, m_context.convention, AdviseReturn(m_random));
+  const GeneratedResponse answer =
+      GenerateResponse(reason, outcome, m_context.convention, AdviseReturn(m_random));
   m_log.Failure("call_failed", log_id, reason)
       .With("outcome", OutcomeName(outcome))
       .With("status", answer.head.status)
--- a/src/libs/owner/backendpool.cpp
+++ b/src/libs/owner/backendpool.cpp
@@ -23,7 +23,7 @@
 // Manages the connections of one worker thread. All member functions are called on that thread.
 class BackendPool::Shard : public BackendEvents {
  public:
-  explicit Shard(BackendAnswerHandler& handler) : m_handler(handler) {}
+  explicit Shard(BackendResponseHandler& handler) : m_handler(handler) {}
 
   void SetServer(const Endpoint& server) {
     if (server == m_server) return;
@@ -60,20 +60,20 @@
   }
 
   void OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) override {
-    if (!part.last) return m_handler.OnAnswerPart(m_active_calls.at(connection), std::move(part));
+    if (!part.last) return m_handler.OnResponsePart(m_active_calls.at(connection), std::move(part));
     const OwnedCallId call = RemoveCall(connection);
     if (reusable) {
       m_idle.push_back(connection);
     } else {
       DiscardConnection(connection);
     }
-    m_handler.OnAnswerPart(call, std::move(part));
+    m_handler.OnResponsePart(call, std::move(part));
   }
 
   void OnBackendFailed(ConnectionId connection, Reason reason, bool may_have_run) override {
     const OwnedCallId call = RemoveCall(connection);
     DiscardConnection(connection);
-    m_handler.OnAnswerFailed(call, reason, may_have_run);
+    m_handler.OnRequestFailed(call, reason, may_have_run);
   }
 
   void OnBackendIdleClosed(ConnectionId connection) override {
@@ -120,7 +120,7 @@
     m_connections.erase(found);
   }
 
-  BackendAnswerHandler& m_handler;
+  BackendResponseHandler& m_handler;
   Endpoint m_server;
   std::uint64_t m_next_connection = 1;
   std::unordered_map<ConnectionId, std::unique_ptr<BackendConnection>> m_connections;
@@ -130,7 +130,7 @@
 };
 
 BackendPool::BackendPool(std::span<const std::unique_ptr<EventThread>> workers,
-                         BackendAnswerHandler& handler) {
+                         BackendResponseHandler& handler) {
   for (const std::unique_ptr<EventThread>& worker : workers) {
     m_worker_shards.push_back(WorkerShard{worker.get(), std::make_unique<Shard>(handler)});
   }
--- a/src/libs/owner/backendpool.h
+++ b/src/libs/owner/backendpool.h
@@ -18,15 +18,15 @@
 
 // Receives the responses of the backend server. Member functions are called on worker threads, and
 // always on the same thread for one call.
-class BackendAnswerHandler {
+class BackendResponseHandler {
  public:
-  virtual ~BackendAnswerHandler() = default;
+  virtual ~BackendResponseHandler() = default;
 
   // Called with each part of the response, in order.
-  virtual void OnAnswerPart(OwnedCallId call, AnswerPart part) = 0;
+  virtual void OnResponsePart(OwnedCallId call, AnswerPart part) = 0;
   // Called once if the request failed; no parts follow. `may_have_run` is false only if the server
   // cannot have received the request.
-  virtual void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) = 0;
+  virtual void OnRequestFailed(OwnedCallId call, Reason reason, bool may_have_run) = 0;
 };
 
 // A request to the backend server and the conditions for its response.
@@ -42,7 +42,8 @@
 // functions up to and including Cancel may be called from any thread.
 class BackendPool {
  public:
-  BackendPool(std::span<const std::unique_ptr<EventThread>> workers, BackendAnswerHandler& handler);
+  BackendPool(std::span<const std::unique_ptr<EventThread>> workers,
+              BackendResponseHandler& handler);
   ~BackendPool();
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
--- a/src/libs/owner/ownerservice.cpp
+++ b/src/libs/owner/ownerservice.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kAnswerWindowBytes = 256UL * 1024UL;
+constexpr std::size_t kResponseWindowBytes = 256UL * 1024UL;
 constexpr std::size_t kRetransmitCacheBytes = 1024UL * 1024UL;
 // Covers the detection of a silent link plus the handshake of its replacement between regions.
 constexpr std::chrono::seconds kRetransmitCacheMaxAge{3};
@@ -304,7 +304,7 @@
       .With("remaining_ms", remaining.count());
   BackendRequest request;
   request.request = MakeBackendRequest(call.request, remaining, m_convention, m_instance);
-  request.credit = kAnswerWindowBytes;
+  request.credit = kResponseWindowBytes;
   request.timeout = remaining;
   request.idempotent = call.request.idempotent();
   request.check.id_field = m_convention.call_id;
@@ -421,7 +421,7 @@
   m_calls.RemoveRefused(id, MonotonicNow());
 }
 
-void OwnerService::OnAnswerPart(OwnedCallId id, AnswerPart part) {
+void OwnerService::OnResponsePart(OwnedCallId id, AnswerPart part) {
   const std::lock_guard lock(m_lock);
   OwnedCall* call = m_calls.Find(id);
   if (call == nullptr) return;
@@ -517,7 +517,7 @@
   Finish(id, SlotResult::kCompleted);
 }
 
-void OwnerService::OnAnswerFailed(OwnedCallId id, Reason reason, bool may_have_run) {
+void OwnerService::OnRequestFailed(OwnedCallId id, Reason reason, bool may_have_run) {
   const std::lock_guard lock(m_lock);
   OwnedCall* call = m_calls.Find(id);
   if (call == nullptr) return;
--- a/src/libs/owner/ownerservice.h
+++ b/src/libs/owner/ownerservice.h
@@ -33,7 +33,7 @@
 // Implements the owner role: admits, queues and dispatches the calls to this node's backend server.
 // No other node sends requests to that server. One lock guards the state; all public members may
 // be called from any thread.
-class OwnerService : public BackendAnswerHandler {
+class OwnerService : public BackendResponseHandler {
  public:
   OwnerService(NodeIdentity identity, MetricsRegistry& metrics, Messenger& messenger,
                SharedCrashGuard& crash_guard, const CallConvention& convention,
@@ -98,8 +98,8 @@
   // Whether the service holds no call, in whatever state.
   bool IsIdle() const;
 
-  void OnAnswerPart(OwnedCallId call, AnswerPart part) override;
-  void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) override;
+  void OnResponsePart(OwnedCallId call, AnswerPart part) override;
+  void OnRequestFailed(OwnedCallId call, Reason reason, bool may_have_run) override;
 
  private:
   // All member functions below expect m_lock to be held.
--- a/tests/auto/calls/tst_callconvention.cpp
+++ b/tests/auto/calls/tst_callconvention.cpp
@@ -38,8 +38,8 @@
 };
 
 void TestStatus(const StatusRow& row) {
-  const GeneratedAnswer answer =
-      GenerateAnswer(row.reason, row.outcome, platform::PlatformConvention(), kRetryAfter);
+  const GeneratedResponse answer =
+      GenerateResponse(row.reason, row.outcome, platform::PlatformConvention(), kRetryAfter);
   CPPUNIT_ASSERT_EQUAL(row.status, answer.head.status);
   const bool may_retry = row.status == 503;
   CPPUNIT_ASSERT_EQUAL(std::string(may_retry ? "0.25" : ""),
@@ -90,8 +90,8 @@
   }
 
   void OwnConventionKeepsItsFields() {
-    const GeneratedAnswer answer =
-        GenerateAnswer(Reason::kQueueExpired, Outcome::kNotRun, CallConvention(), kRetryAfter);
+    const GeneratedResponse answer =
+        GenerateResponse(Reason::kQueueExpired, Outcome::kNotRun, CallConvention(), kRetryAfter);
     CPPUNIT_ASSERT_EQUAL(504, answer.head.status);
     CPPUNIT_ASSERT_EQUAL(std::string("not-run"),
                          std::string(FindHeader(answer.head.headers, "Damaskhollow-Outcome")));
