--- a/src/libs/calls/attemptmessages.h
+++ b/src/libs/calls/attemptmessages.h
@@ -13,32 +13,37 @@
 
 namespace damaskhollow {
 
-// Names an attempt towards its owner.
-struct AttemptName {
+// Identifies an attempt in messages to its owner. An attempt is one send of a call to one owner.
+struct AttemptKey {
   CallId call;
   Incarnation ingress;
   ExpiryStamp expiry;
 };
 
-// The messages by which an ingress sends an attempt and asks about it.
-wire::Envelope CallRequestFor(const AttemptName& attempt, const BackendServerId& server,
-                              const CallClass& call_class, const std::string& digest,
-                              const HttpRequest& request);
-wire::Envelope CancelFor(const AttemptName& attempt);
-wire::Envelope StatusQueryFor(const AttemptName& attempt, std::uint32_t next_sequence);
-
-// The digest that names a request towards the crash guard.
-std::string DigestOf(const ServiceId& service, const HttpRequest& request);
-
-// What an owner's word on a call proves.
-enum class Proof {
-  kNotRun,  // It has not run and will not run.
+// Build the messages by which an ingress sends, cancels and queries an attempt. `digest` is the
+// result of RequestDigest; `next_sequence` is the first response chunk that the ingress lacks.
+wire::Envelope MakeCallRequest(const AttemptKey& attempt, const BackendServerId& server,
+                               const CallClass& call_class, const std::string& digest,
+                               const HttpRequest& request);
+wire::Envelope MakeCancel(const AttemptKey& attempt);
+wire::Envelope MakeStatusQuery(const AttemptKey& attempt, std::uint32_t next_sequence);
+
+// Returns the digest by which the crash guard identifies a request: the first 16 bytes of a SHA-256
+// over service, method, target and body.
+std::string RequestDigest(const ServiceId& service, const HttpRequest& request);
+
+// The state of an attempt as it follows from its owner's report.
+enum class AttemptStatus {
+  kNotRun,  // Has not run and will not run.
   kPending,
   kDone,
-  kNone,  // The owner is another process.
+  kUnknown,  // The owner has been restarted since the attempt was stamped.
 };
 
-Proof ProofOf(wire::CallState call_state, const wire::OwnerState& owner, const ExpiryStamp& expiry);
+// Derives the state of an attempt from the reported call state. `owner` is the state sent with the
+// report, and `expiry` the stamp that the attempt was sent with.
+AttemptStatus AttemptStatusFrom(wire::CallState call_state, const wire::OwnerState& owner,
+                                const ExpiryStamp& expiry);
 
 }  // namespace damaskhollow
 
--- a/src/libs/calls/callheaders.cpp
+++ b/src/libs/calls/callheaders.cpp
@@ -17,8 +17,9 @@
          boost::beast::iequals({left.data(), left.size()}, {right.data(), right.size()});
 }
 
-// Fields by which a backend server could contradict the node.
-bool IsNodeField(std::string_view name, const CallConvention& convention) {
+// Whether only nodes may set the field in responses. Such a field from a backend server could
+// contradict the one that the node sets.
+bool IsReservedField(std::string_view name, const CallConvention& convention) {
   for (const std::string* field : {&convention.outcome, &convention.reason, &convention.served_by,
                                    &convention.replayed, &convention.drain}) {
     if (IsSameName(name, *field)) return true;
@@ -26,15 +27,18 @@
   return false;
 }
 
+// Whether the node sets the field in requests to backend servers itself.
 bool IsReplacedField(std::string_view name, const CallConvention& convention) {
   return IsSameName(name, convention.deadline) || IsSameName(name, convention.depth) ||
          IsSameName(name, convention.expected_instance);
 }
 
+// Returns the value of a header field; empty if the convention does not use the field.
 std::string_view FieldOf(const HttpRequest& request, std::string_view name) {
   return name.empty() ? std::string_view() : FindHeader(request.headers, name);
 }
 
+// Adds a header field unless its name or value is empty.
 void AddField(std::vector<HttpHeader>& headers, const std::string& name, std::string_view value) {
   if (!name.empty() && !value.empty()) headers.push_back({name, std::string(value)});
 }
@@ -43,28 +47,29 @@
   return QString::fromUtf8(text.data(), static_cast<qsizetype>(text.size()));
 }
 
-// Seconds with a fraction, as callers read them.
+// Formats a time as decimal seconds, without trailing zeros.
 std::string ToSeconds(std::chrono::milliseconds time) {
   constexpr std::int64_t kMillisecondsPerSecond = 1000;
   const std::int64_t whole = time.count() / kMillisecondsPerSecond;
-  const std::int64_t rest = time.count() % kMillisecondsPerSecond;
-  if (rest == 0) return std::to_string(whole);
-  std::string fraction = std::to_string(kMillisecondsPerSecond + rest).substr(1);
+  const std::int64_t remainder = time.count() % kMillisecondsPerSecond;
+  if (remainder == 0) return std::to_string(whole);
+  std::string fraction = std::to_string(kMillisecondsPerSecond + remainder).substr(1);
   fraction.erase(fraction.find_last_not_of('0') + 1);
   return std::to_string(whole) + "." + fraction;
 }
 
-// The status for a caller that reads promises off it: 503 where the call was not run, and none of
-// the statuses that promise it where that is not proved.
-int PromisedStatus(int status, Outcome outcome) {
+// Returns the status for callers that conclude from it whether a call has run. Calls that were not
+// run get 503 in place of any 5xx status or 422. Calls that may have run get 502 in place of a
+// status that such callers take as "not run", which is 503 or any status below 500.
+int StatusForOutcome(int status, Outcome outcome) {
   constexpr int kUnavailable = 503;
   constexpr int kBadGateway = 502;
   constexpr int kFirstServerError = 500;
   constexpr int kUnprocessable = 422;
-  const bool is_own_fault = status >= kFirstServerError || status == kUnprocessable;
-  if (outcome == Outcome::kNotRun) return is_own_fault ? kUnavailable : status;
-  const bool is_promise = status == kUnavailable || status < kFirstServerError;
-  return is_promise ? kBadGateway : status;
+  const bool is_failure_status = status >= kFirstServerError || status == kUnprocessable;
+  if (outcome == Outcome::kNotRun) return is_failure_status ? kUnavailable : status;
+  const bool means_not_run = status == kUnavailable || status < kFirstServerError;
+  return means_not_run ? kBadGateway : status;
 }
 
 }  // namespace
@@ -82,7 +87,8 @@
   return call;
 }
 
-void StampOrigin(HttpRequest& request, const CallConvention& convention, const ServiceId& origin) {
+void ReplaceOriginHeaders(HttpRequest& request, const CallConvention& convention,
+                          const ServiceId& origin) {
   std::erase_if(request.headers, [&](const HttpHeader& header) {
     return IsSameName(header.name, convention.caller_service) ||
            IsSameName(header.name, convention.expected_instance);
@@ -90,8 +96,8 @@
   AddField(request.headers, convention.caller_service, origin.Value());
 }
 
-HttpRequest BackendRequestOf(wire::CallRequest& request, std::chrono::milliseconds remaining,
-                             const CallConvention& convention, std::string_view instance) {
+HttpRequest MakeBackendRequest(wire::CallRequest& request, std::chrono::milliseconds remaining,
+                               const CallConvention& convention, std::string_view instance) {
   HttpRequest http;
   http.method = request.method();
   http.target = request.target();
@@ -110,7 +116,7 @@
   wire::ResponseHead message;
   message.set_status(static_cast<std::uint32_t>(head.status));
   for (const HttpHeader& header : EndToEndHeaders(head.headers)) {
-    if (IsNodeField(header.name, convention)) continue;
+    if (IsReservedField(header.name, convention)) continue;
     wire::Header& field = *message.add_headers();
     field.set_name(header.name);
     field.set_value(header.value);
@@ -123,8 +129,8 @@
   return message;
 }
 
-HttpResponseHead AnsweredHead(const wire::ResponseHead& head, const CallConvention& convention,
-                              std::string_view server) {
+HttpResponseHead MakeResponseHead(const wire::ResponseHead& head, const CallConvention& convention,
+                                  std::string_view server) {
   HttpResponseHead answer;
   answer.status = static_cast<int>(head.status());
   for (const wire::Header& header : head.headers()) {
@@ -143,25 +149,25 @@
   return answer;
 }
 
-ReasonAnswer AnswerFor(Reason reason, Outcome outcome, const CallConvention& convention,
-                       std::chrono::milliseconds return_after) {
+GeneratedResponse GenerateResponse(Reason reason, Outcome outcome, const CallConvention& convention,
+                                   std::chrono::milliseconds retry_after) {
   constexpr int kUnavailable = 503;
   const ReasonInfo& info = InfoOf(reason);
   QJsonObject json;
   json.insert("outcome", ToQString(OutcomeName(outcome)));
   json.insert("reason", ToQString(info.name));
   json.insert("explanation", ToQString(info.explanation));
-  ReasonAnswer answer;
+  GeneratedResponse answer;
   answer.body = QJsonDocument(json).toJson(QJsonDocument::Compact).toStdString() + "\n";
   answer.head.status = convention.status_guarantees_not_run
-                           ? PromisedStatus(info.http_status, outcome)
+                           ? StatusForOutcome(info.http_status, outcome)
                            : info.http_status;
   answer.head.content_length = answer.body.size();
   answer.head.headers.push_back({"Content-Type", "application/json"});
   AddField(answer.head.headers, convention.outcome, OutcomeName(outcome));
   AddField(answer.head.headers, convention.reason, info.name);
   if (answer.head.status == kUnavailable) {
-    answer.head.headers.push_back({"Retry-After", ToSeconds(return_after)});
+    answer.head.headers.push_back({"Retry-After", ToSeconds(retry_after)});
   }
   return answer;
 }
--- a/src/libs/calls/sharedrouter.cpp
+++ b/src/libs/calls/sharedrouter.cpp
@@ -22,7 +22,7 @@
   m_router.SetReachable(server, reachable, MonotonicNow());
 }
 
-void SharedRouter::NoteState(const BackendServerId& server, const wire::OwnerState& state) {
+void SharedRouter::RecordOwnerState(const BackendServerId& server, const wire::OwnerState& state) {
   const std::lock_guard lock(m_lock);
   const TimePoint now = MonotonicNow();
   m_clocks.RecordReading(server, Incarnation{state.incarnation()}, state.clock_us(), now);
@@ -67,7 +67,7 @@
   return m_router.SubsetOf(service);
 }
 
-std::set<ServiceId> SharedRouter::TakeUsedServices() {
+std::set<ServiceId> SharedRouter::PopUsedServices() {
   const std::lock_guard lock(m_lock);
   return std::exchange(m_used, {});
 }
--- a/src/libs/ingress/ingressservice.cpp
+++ b/src/libs/ingress/ingressservice.cpp
@@ -69,8 +69,8 @@
   if (connections >= limit) CloseWaitingConnections();
   if (connections >= limit + limit / kUrgentReserveDivisor) {
     m_context.metrics.CountRefusal(Reason::kIngressOverloaded);
-    const ReasonAnswer answer = AnswerFor(Reason::kIngressOverloaded, Outcome::kNotRun,
-                                          m_context.convention, kOverloadedRetryAfter);
+    const GeneratedResponse answer = GenerateResponse(Reason::kIngressOverloaded, Outcome::kNotRun,
+                                                      m_context.convention, kOverloadedRetryAfter);
     auto* socket = new QTcpSocket(this);
     connect(socket, &QTcpSocket::disconnected, socket, &QObject::deleteLater);
     socket->setSocketDescriptor(descriptor);
--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -94,7 +94,7 @@
   call.body_bytes = body_bytes;
   call.started = MonotonicNow();
   call.log_id = LogIdOf(call.request, m_context.convention);
-  m_log.NoteRequest(call.started);
+  m_log.RecordRequest(call.started);
   const std::shared_ptr<const Declaration> declaration = m_context.declaration.load();
   if (!declaration) return RespondWithReason(exchange, Reason::kNoConfiguration);
   Classification classification =
@@ -116,10 +116,10 @@
       .With("priority", call.call_class.priority.Value())
       .With("deadline_ms", ToMilliseconds(call.call_class.deadline))
       .With("version", static_cast<std::int64_t>(m_context.version.load()));
-  StampOrigin(call.request, m_context.convention, m_context.own_service);
+  ReplaceOriginHeaders(call.request, m_context.convention, m_context.own_service);
   call.deadline = call.started + call.call_class.deadline;
-  call.digest = DigestOf(call.call_class.service, call.request);
-  if (const Reason reason = m_context.crash_guard.Check(call.digest); reason != Reason::kNone) {
+  call.digest = RequestDigest(call.call_class.service, call.request);
+  if (const Reason reason = m_context.crash_guard.CheckBan(call.digest); reason != Reason::kNone) {
     return RespondWithReason(exchange, reason);
   }
   m_budgets = declaration->budgets;
@@ -175,7 +175,7 @@
 }
 
 void IngressShard::HandleLoadAnswer(const BackendServerId& owner, const wire::LoadAnswer& answer) {
-  m_context.router.NoteState(owner, answer.state());
+  m_context.router.RecordOwnerState(owner, answer.state());
   const auto found = m_load_queries.find(answer.call_id());
   if (found == m_load_queries.end()) return;
   const ExchangeId exchange = found->second;
@@ -235,7 +235,7 @@
   call.request_id_not_run = false;
   call.tried.push_back(server);
   wire::Envelope message =
-      CallRequestFor(NameOf(id, attempt), server, call.call_class, call.digest, call.request);
+      MakeCallRequest(NameOf(id, attempt), server, call.call_class, call.digest, call.request);
   if (!call.call_class.route.IsEmpty()) {
     // expires_at_us and target_at_us are both on the owner's clock.
     const Duration after_target = call.deadline - (call.started + call.call_class.target);
@@ -260,27 +260,27 @@
   switch (message.body_case()) {
     case wire::Envelope::kResponseChunk:
       if (message.response_chunk().has_state()) {
-        m_context.router.NoteState(owner, message.response_chunk().state());
+        m_context.router.RecordOwnerState(owner, message.response_chunk().state());
       }
       return HandleChunk(message.response_chunk());
     case wire::Envelope::kRefused:
-      m_context.router.NoteState(owner, message.refused().state());
+      m_context.router.RecordOwnerState(owner, message.refused().state());
       if (message.refused().request_id_not_run()) {
         RecordRequestIdNotRun(CallId{message.refused().call_id()});
       }
       return HandleNotRun(CallId{message.refused().call_id()},
                           static_cast<Reason>(message.refused().reason()));
     case wire::Envelope::kCallFailed:
-      m_context.router.NoteState(owner, message.call_failed().state());
+      m_context.router.RecordOwnerState(owner, message.call_failed().state());
       return HandleUnknownOutcome(CallId{message.call_failed().call_id()},
                                   static_cast<Reason>(message.call_failed().reason()));
     case wire::Envelope::kLoadAnswer:
       return HandleLoadAnswer(owner, message.load_answer());
     case wire::Envelope::kStatusResult:
-      m_context.router.NoteState(owner, message.status_result().state());
+      m_context.router.RecordOwnerState(owner, message.status_result().state());
       return HandleStatus(message.status_result());
     case wire::Envelope::kCancelResult:
-      m_context.router.NoteState(owner, message.cancel_result().state());
+      m_context.router.RecordOwnerState(owner, message.cancel_result().state());
       return HandleCancelResult(message.cancel_result());
     default:
       return;
@@ -294,7 +294,7 @@
   CancelOthers(call, id);
   m_connections.at(attempt.exchange.connection)
       ->StartResponse(attempt.exchange.number,
-                      AnsweredHead(head, m_context.convention, attempt.server.Value()));
+                      MakeResponseHead(head, m_context.convention, attempt.server.Value()));
   return true;
 }
 
@@ -323,7 +323,7 @@
   if (!chunk.last()) return;
   PendingCall& call = m_calls.at(exchange);
   m_context.metrics.Add(Metric::kCallsAnswered);
-  m_context.crash_guard.NoteAnswered(call.digest);
+  m_context.crash_guard.RecordAnswered(call.digest);
   m_context.metrics.RecordLatency(call.call_class.priority, MonotonicNow() - call.started);
   m_log.Step("answered", call.log_id)
       .With("server", attempt->server.Value())
@@ -464,7 +464,7 @@
 void IngressShard::HandleLinkUp(const BackendServerId& owner) {
   for (const auto& [id, attempt] : m_attempts) {
     if (attempt.server != owner || !attempt.is_suspect) continue;
-    m_context.messenger.Send(owner, StatusQueryFor(NameOf(id, attempt), attempt.next_sequence));
+    m_context.messenger.Send(owner, MakeStatusQuery(NameOf(id, attempt), attempt.next_sequence));
   }
 }
 
@@ -492,14 +492,14 @@
   const CallId id{cancelled.call_id()};
   const Attempt* attempt = FindAttempt(id);
   if (attempt == nullptr) return;
-  switch (ProofOf(cancelled.call_state(), cancelled.state(), attempt->expiry)) {
-    case Proof::kNotRun:
+  switch (AttemptStatusFrom(cancelled.call_state(), cancelled.state(), attempt->expiry)) {
+    case AttemptStatus::kNotRun:
       return HandleNotRun(id, Reason::kQueueExpired);
-    case Proof::kPending:
+    case AttemptStatus::kPending:
       return HandleUnknownOutcome(id, Reason::kBackendTimeout);
-    case Proof::kDone:
+    case AttemptStatus::kDone:
       return;  // Its response or failure message is in transit.
-    case Proof::kNone:
+    case AttemptStatus::kUnknown:
       return HandleUnknownOutcome(id, Reason::kOwnerRestarted);
   }
 }
@@ -519,13 +519,13 @@
   for (const CallId id : attempts) {
     if (id == kept) continue;
     const Attempt& attempt = m_attempts.at(id);
-    m_context.messenger.Send(attempt.server, CancelFor(NameOf(id, attempt)));
+    m_context.messenger.Send(attempt.server, MakeCancel(NameOf(id, attempt)));
     EndAttempt(id, AttemptResult::kCancelled);
   }
 }
 
-AttemptName IngressShard::NameOf(CallId id, const Attempt& attempt) const {
-  return AttemptName{id, m_context.identity.incarnation, attempt.expiry};
+AttemptKey IngressShard::NameOf(CallId id, const Attempt& attempt) const {
+  return AttemptKey{id, m_context.identity.incarnation, attempt.expiry};
 }
 
 Reason IngressShard::ReportableReason(const PendingCall& call, Reason reason) {
@@ -561,8 +561,8 @@
     EndCall(exchange);
   }
   m_context.metrics.CountRefusal(reason);
-  const ReasonAnswer answer =
-      AnswerFor(reason, outcome, m_context.convention, RandomRetryAfter(m_random));
+  const GeneratedResponse answer =
+      GenerateResponse(reason, outcome, m_context.convention, RandomRetryAfter(m_random));
   m_log.Failure("call_failed", log_id, reason)
       .With("outcome", OutcomeName(outcome))
       .With("status", answer.head.status)
@@ -709,7 +709,7 @@
   call.cancelled_at_deadline = true;
   for (const CallId id : call.attempts) {
     const Attempt& attempt = m_attempts.at(id);
-    m_context.messenger.Send(attempt.server, CancelFor(NameOf(id, attempt)));
+    m_context.messenger.Send(attempt.server, MakeCancel(NameOf(id, attempt)));
   }
 }
 
--- a/src/libs/ingress/ingressshard.h
+++ b/src/libs/ingress/ingressshard.h
@@ -172,7 +172,7 @@
   // Chooses a server: the home of the request id if there is one, otherwise the router's choice.
   RoutingChoice Choose(const PendingCall& call, bool may_cross_regions);
   static RoutingRequest RequestOf(const PendingCall& call, bool may_cross_regions);
-  AttemptName NameOf(CallId id, const Attempt& attempt) const;
+  AttemptKey NameOf(CallId id, const Attempt& attempt) const;
   void EndAttempt(CallId attempt, AttemptResult result);
   void CancelAttempts(PendingCall& call);
   void CancelOthers(PendingCall& call, CallId kept);
--- a/src/libs/owner/backendpool.h
+++ b/src/libs/owner/backendpool.h
@@ -16,56 +16,66 @@
 
 namespace damaskhollow {
 
-// Gets the answers of the backend server. Members are called on worker threads, for one call always
-// on the same.
-class BackendAnswers {
+// Receives the responses of the backend server. Member functions are called on worker threads, and
+// always on the same thread for one call.
+class BackendResponseHandler {
  public:
-  virtual ~BackendAnswers() = default;
+  virtual ~BackendResponseHandler() = default;
 
-  virtual void OnAnswerPart(OwnedCallId call, ResponsePart part) = 0;
-  virtual void OnAnswerFailed(OwnedCallId call, Reason reason, bool may_have_run) = 0;
+  // Called with each part of the response, in order.
+  virtual void OnResponsePart(OwnedCallId call, ResponsePart part) = 0;
+  // Called once if the request failed; no parts follow. `may_have_run` is false only if the server
+  // cannot have received the request.
+  virtual void OnRequestFailed(OwnedCallId call, Reason reason, bool may_have_run) = 0;
 };
 
-// A request to the backend server.
+// A request to the backend server and the conditions for its response.
 struct BackendRequest {
   HttpRequest request;
-  std::size_t credit = 0;  // Bytes of body that may be sent on before AddCredit.
+  std::size_t credit = 0;  // Bytes of response body that may be passed on without AddCredit.
   std::chrono::milliseconds timeout{};
   bool idempotent = false;
   ResponseCheck check;
 };
 
-// The connections to the backend server, spread over the worker threads. Commands may be called
-// from any thread.
+// Manages the connections to the backend server, which are distributed over the worker threads. The
+// functions up to and including Cancel may be called from any thread.
 class BackendPool {
  public:
-  BackendPool(std::span<const std::unique_ptr<EventThread>> workers, BackendAnswers& answers);
+  BackendPool(std::span<const std::unique_ptr<EventThread>> workers,
+              BackendResponseHandler& handler);
   ~BackendPool();
   BackendPool(const BackendPool&) = delete;
   BackendPool& operator=(const BackendPool&) = delete;
 
-  // Connects to another address from now on.
+  // Sets the address for new connections. Idle connections to another address are closed.
   void SetServer(const Endpoint& server);
 
-  void Run(OwnedCallId call, BackendRequest request);
+  // Sends a request on an idle or a new connection. The response is reported to the handler.
+  void SendRequest(OwnedCallId call, BackendRequest request);
+
+  // Allows `bytes` more of the call's response body to be passed on.
   void AddCredit(OwnedCallId call, std::size_t bytes);
 
-  // Closes the call's connection; no more answers are reported for it.
+  // Closes the call's connection. Nothing more is reported for the call.
   void Cancel(OwnedCallId call);
 
-  // Closes all connections. The worker threads must still run.
+  // Closes all connections and waits until this is done. The worker threads must be running; must
+  // not be called on one of them.
   void Stop();
 
  private:
   class Shard;
-  struct Slot {
+  struct WorkerShard {
     EventThread* thread;
     std::unique_ptr<Shard> shard;
   };
 
-  Slot& SlotOf(OwnedCallId call) { return m_slots[call.value % m_slots.size()]; }
+  WorkerShard& ShardOf(OwnedCallId call) {
+    return m_worker_shards[call.value % m_worker_shards.size()];
+  }
 
-  std::vector<Slot> m_slots;
+  std::vector<WorkerShard> m_worker_shards;
 };
 
 }  // namespace damaskhollow
