--- a/tests/auto/calls/tst_callconvention.cpp
+++ b/tests/auto/calls/tst_callconvention.cpp
@@ -39,7 +39,7 @@
 
 void TestStatus(const StatusRow& row) {
   const ReasonAnswer answer =
-      AnswerFor(row.reason, row.outcome, platform::PlatformConvention(), kReturn);
+      AnswerFor(row.reason, row.outcome, platform::MakePlatformCallConvention(), kReturn);
   CPPUNIT_ASSERT_EQUAL(row.status, answer.head.status);
   const bool may_return = row.status == 503;
   CPPUNIT_ASSERT_EQUAL(std::string(may_return ? "0.25" : ""),
@@ -67,8 +67,9 @@
     AddHeader(call, "Request-Id", "9c41d07be2a35f68");
     AddHeader(call, "Deadline-Ms", "4000");
     AddHeader(call, "X-Other", "kept");
-    const HttpRequest request = BackendRequestOf(call, std::chrono::milliseconds(1500),
-                                                 platform::PlatformConvention(), "i-7f3a91c2");
+    const HttpRequest request =
+        BackendRequestOf(call, std::chrono::milliseconds(1500),
+                         platform::MakePlatformCallConvention(), "i-7f3a91c2");
     CPPUNIT_ASSERT_EQUAL(std::string("POST"), request.method);
     CPPUNIT_ASSERT_EQUAL(std::string("/a/b?c=d"), request.target);
     CPPUNIT_ASSERT_EQUAL(std::string("bytes"), request.body);
@@ -84,7 +85,7 @@
   void CallerCannotNameItsOrigin() {
     HttpRequest request;
     request.headers = {{"caller-service", "forged"}, {"Expect-Instance", "i-1"}, {"Host", "h"}};
-    StampOrigin(request, platform::PlatformConvention(), ServiceId("warehouse"));
+    StampOrigin(request, platform::MakePlatformCallConvention(), ServiceId("warehouse"));
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, request.headers.size());
     CPPUNIT_ASSERT_EQUAL(std::string("warehouse"), Field(request, "Caller-Service"));
   }
--- a/tests/auto/platform/tst_decoding.cpp
+++ b/tests/auto/platform/tst_decoding.cpp
@@ -29,10 +29,10 @@
 }
 
 // `text` with the first occurrence of `part` replaced.
-std::string Replaced(std::string text, const std::string& part, const std::string& by) {
+std::string Replaced(std::string text, const std::string& part, const std::string& replacement) {
   const std::size_t start = text.find(part);
   CPPUNIT_ASSERT(part.empty() || start != std::string::npos);
-  return part.empty() ? text : text.replace(start, part.size(), by);
+  return part.empty() ? text : text.replace(start, part.size(), replacement);
 }
 
 constexpr char kEntry[] =
@@ -42,7 +42,7 @@
 struct EntryRow {
   std::string_view name;
   std::string part;
-  std::string by;
+  std::string replacement;
   std::string_view field;  // That the failure names; empty: the entry is good.
 };
 
@@ -67,8 +67,8 @@
 };
 
 void TestEntry(const EntryRow& row) {
-  const Result<InstanceEntry> entry =
-      platform::DecodeInstance("i-1", Replaced(kEntry, row.part, row.by), Zones(), kPeerPort);
+  const Result<InstanceEntry> entry = platform::DecodeInstance(
+      "i-1", Replaced(kEntry, row.part, row.replacement), Zones(), kPeerPort);
   CPPUNIT_ASSERT_EQUAL(row.field.empty(), entry.has_value());
   if (!entry) {
     CPPUNIT_ASSERT(entry.error().subject.find(row.field) != std::string::npos);
@@ -96,7 +96,7 @@
 struct RulesRow {
   std::string_view name;
   std::string part;
-  std::string by;
+  std::string replacement;
   std::string_view field;  // That the failure names; empty: the rules are good.
 };
 
@@ -116,7 +116,7 @@
 
 void TestRules(const RulesRow& row) {
   const Result<platform::TranslatedDocument> document = platform::TranslateRules(
-      Replaced(kRules, row.part, row.by), Zones(), platform::RetryBounds{0.2, 58.0});
+      Replaced(kRules, row.part, row.replacement), Zones(), platform::RetryBounds{0.2, 58.0});
   CPPUNIT_ASSERT_EQUAL(row.field.empty(), document.has_value());
   if (!document) {
     CPPUNIT_ASSERT(document.error().subject.find(row.field) != std::string::npos);
@@ -167,7 +167,7 @@
 struct SettingsRow {
   std::string_view name;
   std::string part;
-  std::string by;
+  std::string replacement;
   std::string_view field;  // Empty: the settings are good.
 };
 
@@ -184,7 +184,7 @@
 
 void TestSettings(const SettingsRow& row) {
   const Result<platform::PlatformSettings> settings =
-      platform::ParsePlatformSettings(Replaced(kSettings, row.part, row.by));
+      platform::ParsePlatformSettings(Replaced(kSettings, row.part, row.replacement));
   CPPUNIT_ASSERT_EQUAL(row.field.empty(), settings.has_value());
   if (!settings) CPPUNIT_ASSERT_EQUAL(std::string(row.field), settings.error().subject);
 }
@@ -197,7 +197,7 @@
   CPPUNIT_TEST_SUITE(InventoryTranslatorTest);
   CPPUNIT_TEST(EachVmKeepsItsEntry);
   CPPUNIT_TEST(NewestInstanceOfAVmCounts);
-  CPPUNIT_TEST(SpoiledEntryNamesNoServer);
+  CPPUNIT_TEST(InvalidEntryIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -211,7 +211,7 @@
     CPPUNIT_ASSERT_EQUAL("i-1"s, list.inventory->at(2).instance);  // By address, as text.
     CPPUNIT_ASSERT_EQUAL("10.1.0.11"s, list.entries.at(1).server.Value());
     CPPUNIT_ASSERT(list.entries.at(1).leaving);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Leaving(list));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, CountLeaving(list));
   }
 
   // Guards against requests that name an instance whose address another has taken over.
@@ -223,7 +223,7 @@
     CPPUNIT_ASSERT_EQUAL("i-new"s, list.inventory->front().instance);
   }
 
-  void SpoiledEntryNamesNoServer() {
+  void InvalidEntryIsIgnored() {
     Put("i-1", kEntry, 1);
     Put("i-2", "not json", 2);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, Translate().inventory->size());
@@ -241,7 +241,7 @@
     return *list;
   }
 
-  static std::size_t Leaving(const VmList& list) {
+  static std::size_t CountLeaving(const VmList& list) {
     std::size_t count = 0;
     for (const VmEntry& entry : list.entries) count += entry.leaving ? 1 : 0;
     return count;
--- a/tests/auto/platform/tst_storereader.cpp
+++ b/tests/auto/platform/tst_storereader.cpp
@@ -89,7 +89,7 @@
   CPPUNIT_TEST(ReadsTheRangeAgainAfterAGapInTheHistory);
   CPPUNIT_TEST(ChangeThatDoesNotMatterIsNoNewVersion);
   CPPUNIT_TEST(EmptyStoreIsWaitedFor);
-  CPPUNIT_TEST(SpoiledValueSpoilsNoOther);
+  CPPUNIT_TEST(InvalidValueAffectsNoOtherItem);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -151,7 +151,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("A"), WaitForText());
   }
 
-  void SpoiledValueSpoilsNoOther() {
+  void InvalidValueAffectsNoOtherItem() {
     m_store.Put("servers/a", "A");
     m_store.PutEncoded("servers/b", "*no base64*");
     m_store.Put("servers/c", "C");
