--- a/tests/auto/platform/tst_decoding.cpp
+++ b/tests/auto/platform/tst_decoding.cpp
@@ -28,7 +28,7 @@
           {DataCentreId("rennes-a"), RegionId("ille-vilaine")}};
 }
 
-// `text` with the first occurrence of `part` replaced.
+// Returns `text` with the first occurrence of `part` replaced; an empty `part` changes nothing.
 std::string Replaced(std::string text, const std::string& part, const std::string& replacement) {
   const std::size_t start = text.find(part);
   CPPUNIT_ASSERT(part.empty() || start != std::string::npos);
@@ -43,7 +43,7 @@
   std::string_view name;
   std::string part;
   std::string replacement;
-  std::string_view field;  // That the failure names; empty: the entry is good.
+  std::string_view field;  // Part of the failure's subject; empty if the entry is valid.
 };
 
 const std::array entry_rows{
@@ -97,7 +97,7 @@
   std::string_view name;
   std::string part;
   std::string replacement;
-  std::string_view field;  // That the failure names; empty: the rules are good.
+  std::string_view field;  // Part of the failure's subject; empty if the rules are valid.
 };
 
 const std::array rules_rows{
@@ -168,7 +168,7 @@
   std::string_view name;
   std::string part;
   std::string replacement;
-  std::string_view field;  // Empty: the settings are good.
+  std::string_view field;  // The failure's subject; empty if the settings are valid.
 };
 
 const std::array settings_rows{
@@ -201,20 +201,20 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against one entry that takes the place of all others.
+  // Guards against one entry replacing the entries of other VMs in the inventory.
   void EachVmKeepsItsEntry() {
     Put("i-1", kEntry, 1);
     Put("i-2", Replaced(kEntry, "10.1.0.9", "10.1.0.10"), 2);
     Put("i-3", Replaced(Replaced(kEntry, "10.1.0.9", "10.1.0.11"), "ready", "draining"), 3);
     const VmList list = Translate();
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, list.inventory->size());
-    CPPUNIT_ASSERT_EQUAL("i-1"s, list.inventory->at(2).instance);  // By address, as text.
+    CPPUNIT_ASSERT_EQUAL("i-1"s, list.inventory->at(2).instance);  // Sorted by address as text.
     CPPUNIT_ASSERT_EQUAL("10.1.0.11"s, list.entries.at(1).server.Value());
     CPPUNIT_ASSERT(list.entries.at(1).leaving);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, CountLeaving(list));
   }
 
-  // Guards against requests that name an instance whose address another has taken over.
+  // Guards against requests that expect an instance whose address a newer instance has taken over.
   void NewestInstanceOfAVmCounts() {
     Put("i-new", kEntry, 9);
     Put("i-old", kEntry, 4);
--- a/tests/auto/platform/tst_storereader.cpp
+++ b/tests/auto/platform/tst_storereader.cpp
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 using test::StandInStore;
 
-// Notes what a reader reports.
+// Records the events of a reader.
 class Events : public PlatformEvents {
  public:
   void OnPlatformChanged(std::uint64_t version, std::string_view text) override {
@@ -42,7 +42,7 @@
   std::string m_failure;
 };
 
-// The values in the order of their keys.
+// Translates items to their values in key order, with ? for an unreadable value.
 std::optional<TranslatedDocument> JoinValues(const StoreItems& items) {
   std::string text;
   for (const auto& [key, item] : items) text += item.unreadable ? "?" : item.value;
@@ -62,7 +62,8 @@
     FailureRow{"silent connection", StandInStore::Mode::kSilent, "backend_timeout"},
 };
 
-// Guards against a read that never ends, after which the store would not be read again.
+// Guards against a read that never ends when the store fails; the store would then not be read
+// again.
 void TestFailure(const FailureRow& row) {
   StandInStore store;
   store.Put("servers/a", "A");
@@ -119,8 +120,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("B"), WaitForText());
   }
 
-  // Guards against a reader that goes on with an old view when the store has forgotten what
-  // changed.
+  // Guards against a reader that keeps outdated items when the store no longer has the history of
+  // changes since its last read.
   void ReadsTheRangeAgainAfterAGapInTheHistory() {
     m_store.Put("servers/a", "A");
     Start(0);
@@ -132,7 +133,8 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_store.Ranges());
   }
 
-  // Guards against a new inventory for the whole fleet with each beat of a server.
+  // Guards against distributing a new inventory to the entire fleet each time a server rewrites its
+  // entry without a change (heartbeat).
   void ChangeThatDoesNotMatterIsNoNewVersion() {
     m_store.Put("servers/a", "A");
     Start(0);
