--- a/src/app/node/main.cpp
+++ b/src/app/node/main.cpp
@@ -20,13 +20,13 @@
 
 // Each arena of the allocator keeps freed memory for itself; with one per thread a node exceeds its
 // 32 MB.
-constexpr int kAllocatorArenas = 2;
-constexpr int kUsageStatus = 2;
-constexpr int kStartFailedStatus = 1;
+constexpr int kMaxAllocatorArenas = 2;
+constexpr int kUsageExitStatus = 2;
+constexpr int kStartFailedExitStatus = 1;
 
 // Blocks SIGTERM and SIGINT in all threads and returns a descriptor that becomes readable when one
 // arrives.
-int OpenStopSignals() {
+int OpenStopSignalDescriptor() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -38,20 +38,20 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  mallopt(M_ARENA_MAX, kAllocatorArenas);
+  mallopt(M_ARENA_MAX, kMaxAllocatorArenas);
   const std::vector<std::string> arguments(argv + 1, argv + argc);
   Result<LoadedSettings> loaded =
       damaskhollow::LoadNodeSettings(arguments, damaskhollow::ProcessEnvironment());
   if (!loaded) {
     std::cerr << "damaskhollow-node: " << damaskhollow::Describe(loaded.error()) << '\n';
-    return kUsageStatus;
+    return kUsageExitStatus;
   }
   if (loaded.value().print_only) {
     std::cout << damaskhollow::FormatSettings(loaded.value().lines);
     return 0;
   }
   std::signal(SIGPIPE, SIG_IGN);
-  const int stop_signals = OpenStopSignals();
+  const int stop_signal_fd = OpenStopSignalDescriptor();
   QCoreApplication application(argc, argv);
   damaskhollow::StartLogging(*damaskhollow::LogLevelFromName(loaded.value().settings.log_level));
   damaskhollow::Node node(loaded.value().settings, damaskhollow::OwnSeams(loaded.value().settings));
@@ -60,12 +60,12 @@
                             "start_failed")
         .With("detail", Describe(result.error()));
     damaskhollow::StopLogging();
-    return kStartFailedStatus;
+    return kStartFailedExitStatus;
   }
-  QSocketNotifier notifier(stop_signals, QSocketNotifier::Read);
+  QSocketNotifier notifier(stop_signal_fd, QSocketNotifier::Read);
   QObject::connect(&notifier, &QSocketNotifier::activated, &application, [&] {
     signalfd_siginfo info{};
-    while (::read(stop_signals, &info, sizeof(info)) > 0) {
+    while (::read(stop_signal_fd, &info, sizeof(info)) > 0) {
     }
     node.StartDrain([&application] { application.quit(); });
   });
--- a/src/libs/calls/calllog.cpp
+++ b/src/libs/calls/calllog.cpp
@@ -24,7 +24,7 @@
 }
 
 EventLine CallLog::Failure(std::string_view event, std::string_view request, Reason reason) const {
-  EventLine line(m_part, LogLevel::kWarning, event, m_log.TakeFailureLine(MonotonicNow()));
+  EventLine line(m_part, LogLevel::kWarning, event, m_log.TryConsumeFailureLine(MonotonicNow()));
   line.With("request", request).With("reason", InfoOf(reason).name);
   return line;
 }
--- a/src/libs/calls/calllog.h
+++ b/src/libs/calls/calllog.h
@@ -18,7 +18,7 @@
  public:
   CallLog(RequestLog& log, LogPart part) : m_log(log), m_part(part) {}
 
-  void NoteRequest(TimePoint now) { m_log.NoteRequest(now); }
+  void NoteRequest(TimePoint now) { m_log.RecordRequest(now); }
 
   // A line on the usual course of a call; written for sampled requests.
   EventLine Step(std::string_view event, std::string_view request) const;
--- a/src/libs/logging/logger.cpp
+++ b/src/libs/logging/logger.cpp
@@ -26,17 +26,17 @@
 namespace sinks = boost::log::sinks;
 
 // About 300 bytes a line, so that a reader that stops costs at most some 600 KB.
-constexpr std::size_t kQueuedLines = 2000;
+constexpr std::size_t kMaxQueuedLines = 2000;
 
 constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warning", "error"};
 constexpr std::array<std::string_view, 8> kPartNames{"node",          "ingress", "owner", "routing",
                                                      "configuration", "fleet",   "link",  "admin"};
 
 std::atomic<std::uint64_t> dropped_lines{0};
-std::atomic<LogLevel> least_level{LogLevel::kInfo};
+std::atomic<LogLevel> min_level{LogLevel::kInfo};
 
 // Drops what the queue cannot take, and counts it.
-class CountDropped {
+class CountingOverflowPolicy {
  public:
   template <class Lock>
   // NOLINTNEXTLINE(readability-identifier-naming): name fixed by Boost.Log.
@@ -52,7 +52,8 @@
 
 using Backend = sinks::text_ostream_backend;
 using Sink =
-    sinks::asynchronous_sink<Backend, sinks::bounded_fifo_queue<kQueuedLines, CountDropped>>;
+    sinks::asynchronous_sink<Backend,
+                             sinks::bounded_fifo_queue<kMaxQueuedLines, CountingOverflowPolicy>>;
 
 boost::shared_ptr<Sink>& RunningSink() {
   static boost::shared_ptr<Sink> sink;
@@ -64,7 +65,7 @@
   BOOST_LOG_SEV(logger, level) << line;
 }
 
-std::string StartOf(LogPart part, LogLevel level, std::string_view event) {
+std::string LinePrefix(LogPart part, LogLevel level, std::string_view event) {
   std::string line = "level=";
   line += kLevelNames[static_cast<std::size_t>(level)];
   line += " part=";
@@ -76,14 +77,15 @@
 
 // Quotes a value that is empty or has characters that would end it, on one line.
 std::string Quoted(std::string_view value) {
-  const bool is_plain = !value.empty() && std::all_of(value.begin(), value.end(), [](char letter) {
-    return letter > ' ' && letter != '"' && letter != '=';
-  });
+  const bool is_plain =
+      !value.empty() && std::all_of(value.begin(), value.end(), [](char character) {
+        return character > ' ' && character != '"' && character != '=';
+      });
   if (is_plain) return std::string(value);
   std::string quoted = "\"";
-  for (const char letter : value) {
-    const bool is_control = static_cast<unsigned char>(letter) < ' ';
-    quoted += letter == '"' ? '\'' : (is_control ? ' ' : letter);
+  for (const char character : value) {
+    const bool is_control = static_cast<unsigned char>(character) < ' ';
+    quoted += character == '"' ? '\'' : (is_control ? ' ' : character);
   }
   return quoted + '"';
 }
@@ -98,7 +100,7 @@
 }
 
 void StartLogging(LogLevel level) {
-  least_level.store(level);
+  min_level.store(level);
   auto backend = boost::make_shared<Backend>();
   backend->add_stream(boost::shared_ptr<std::ostream>(&std::cout, boost::null_deleter()));
   backend->auto_flush(true);
@@ -125,11 +127,11 @@
 
 std::uint64_t DroppedLogLines() { return dropped_lines.load(std::memory_order_relaxed); }
 
-bool IsLogged(LogLevel level) { return level >= least_level.load(std::memory_order_relaxed); }
+bool IsLogged(LogLevel level) { return level >= min_level.load(std::memory_order_relaxed); }
 
-EventLine::EventLine(LogPart part, LogLevel level, std::string_view event, bool wanted)
+EventLine::EventLine(LogPart part, LogLevel level, std::string_view event, bool is_enabled)
     : m_level(level) {
-  if (wanted && IsLogged(level)) m_line = StartOf(part, level, event);
+  if (is_enabled && IsLogged(level)) m_line = LinePrefix(part, level, event);
 }
 
 EventLine::EventLine(EventLine&& other) noexcept
--- a/src/libs/logging/logger.h
+++ b/src/libs/logging/logger.h
@@ -43,7 +43,7 @@
 class EventLine {
  public:
   // `wanted` is false for a line that a bound on the log leaves out.
-  EventLine(LogPart part, LogLevel level, std::string_view event, bool wanted = true);
+  EventLine(LogPart part, LogLevel level, std::string_view event, bool is_enabled = true);
   ~EventLine();
   EventLine(EventLine&& other) noexcept;
   EventLine& operator=(const EventLine&) = delete;
--- a/src/libs/metrics/metricsregistry.cpp
+++ b/src/libs/metrics/metricsregistry.cpp
@@ -39,11 +39,11 @@
      "Version of the declaration in force."},
     {Metric::kConfigurationRefused, "configuration_refused_total", "counter",
      "Declarations refused as invalid or older."},
-    {Metric::kCrashesSeen, "backend_crashes_total", "counter",
+    {Metric::kBackendCrashes, "backend_crashes_total", "counter",
      "Crashes of the backend server seen."},
     {Metric::kLinksUp, "links_up", "gauge", "Links to peers that are up."},
     {Metric::kLinksReplaced, "links_replaced_total", "counter", "Silent links replaced."},
-    {Metric::kPausesSeen, "pauses_total", "counter", "Pauses of the process noticed."},
+    {Metric::kProcessPauses, "pauses_total", "counter", "Pauses of the process noticed."},
     {Metric::kQueuedCalls, "queued_calls", "gauge", "Calls queued at the owner."},
     {Metric::kInFlightCalls, "in_flight_calls", "gauge", "Calls running on the backend server."},
     {Metric::kCallerConnections, "caller_connections", "gauge", "Connections of callers."},
@@ -107,9 +107,9 @@
   const std::lock_guard lock(m_latency_lock);
   auto found = m_latencies.find(priority);
   if (found == m_latencies.end()) {
-    Latency fresh{boost::histogram::make_histogram(
+    Latency new_entry{boost::histogram::make_histogram(
         LatencyAxis(kLatencyBuckets, kLatencyLowMs, kLatencyHighMs))};
-    found = m_latencies.emplace(priority, std::move(fresh)).first;
+    found = m_latencies.emplace(priority, std::move(new_entry)).first;
   }
   found->second.histogram(milliseconds);
   found->second.sum_ms += milliseconds;
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick{20};
+constexpr std::chrono::milliseconds kTickInterval{20};
 // The last answers are handed to the peer thread before the owner is idle; they need some time to
 // reach the network.
-constexpr std::chrono::milliseconds kLastAnswerTime{250};
+constexpr std::chrono::milliseconds kResponseFlushTime{250};
 
 Result<std::string> ReadFile(const std::string& path) {
   QFile file(QString::fromStdString(path));
@@ -36,8 +36,8 @@
       m_crash_guard(m_settings.crash_guard),
       m_owner(m_identity, m_metrics, *this, m_crash_guard, m_seams.convention, m_request_log),
       m_crash_reporter(m_identity.server, m_identity.incarnation, m_crash_guard, m_metrics, *this) {
-  m_owner.SetViewGate(&m_gate);
-  m_router.SetViewGate(&m_gate);
+  m_owner.SetViewGate(&m_view_gate);
+  m_router.SetViewGate(&m_view_gate);
 }
 
 Node::~Node() {
@@ -71,11 +71,11 @@
       IngressContext{m_identity, m_metrics, *this, m_router, m_crash_guard, m_body_budget,
                      m_declaration, m_caller_connections, m_settings.caller_connections,
                      absent_since, m_seams.convention, m_seams.own_service, m_request_log,
-                     m_version},
+                     m_configuration_version},
       m_workers);
   m_control = std::make_unique<ControlService>(
       ControlContext{m_settings, m_identity, m_metrics, *this, m_router, m_owner, *m_transport,
-                     m_gate, m_seams},
+                     m_view_gate, m_seams},
       [this](const auto& declaration, std::uint64_t version) {
         ApplyDeclaration(declaration, version);
       });
@@ -91,7 +91,7 @@
       m_metrics, m_seams.ready_path, [this] { return Status(); }, [this] { return IsReady(); });
   if (Result<void> result = m_admin->Listen(m_settings.admin_listen); !result) return result;
   connect(&m_timer, &QTimer::timeout, this, &Node::Tick);
-  m_timer.start(kTick);
+  m_timer.start(kTickInterval);
   EventLine(LogPart::kNode, LogLevel::kInfo, "started")
       .With("server", m_identity.server.Value())
       .With("region", m_settings.region.Value())
@@ -115,7 +115,7 @@
 void Node::ApplyDeclaration(const std::shared_ptr<const Declaration>& declaration,
                             std::uint64_t version) {
   m_declaration.store(declaration);
-  m_version.store(version);
+  m_configuration_version.store(version);
   m_metrics.Set(Metric::kConfigurationVersion, version);
   m_metrics.Set(Metric::kServers, declaration->backend_servers.size());
   m_router.SetDeclaration(declaration);
@@ -137,7 +137,7 @@
   m_metrics.Set(Metric::kLogLinesDropped, DroppedLogLines());
   m_metrics.Set(Metric::kFailureLinesDropped, m_request_log.DroppedFailureLines());
   m_metrics.Set(Metric::kSlownessPercent, m_owner.State().slowness_percent());
-  if (m_drained) CheckDrained();
+  if (m_on_drained) CheckDrained();
 }
 
 void Node::CheckCrashes() {
@@ -156,12 +156,12 @@
 
 bool Node::IsReady() const {
   const std::shared_ptr<const Declaration> declaration = m_declaration.load();
-  return declaration && !declaration->backend_servers.empty() && !m_drained && !m_is_closing;
+  return declaration && !declaration->backend_servers.empty() && !m_on_drained && !m_is_closing;
 }
 
 void Node::StartDrain(std::function<void()> done) {
-  if (m_drained) return;
-  m_drained = std::move(done);
+  if (m_on_drained) return;
+  m_on_drained = std::move(done);
   m_drain_started = MonotonicNow();
   LogEvent(LogPart::kNode, LogLevel::kInfo, "stopping");
   m_owner.StartDrain();
@@ -178,13 +178,13 @@
   const bool has_work = !m_owner.IsIdle() || m_ingress->CallerConnections() > 0;
   if (has_work) m_idle_since.reset();
   if (!has_work && !m_idle_since) m_idle_since = now;
-  const bool is_idle = m_idle_since && now - *m_idle_since > kLastAnswerTime;
-  const bool is_late = elapsed > std::chrono::milliseconds(m_settings.drain_announce_ms +
-                                                           m_settings.drain_timeout_ms);
-  if (!is_idle && !is_late) return;
+  const bool is_idle = m_idle_since && now - *m_idle_since > kResponseFlushTime;
+  const bool is_timed_out = elapsed > std::chrono::milliseconds(m_settings.drain_announce_ms +
+                                                                m_settings.drain_timeout_ms);
+  if (!is_idle && !is_timed_out) return;
   EventLine(LogPart::kNode, LogLevel::kInfo, "stopped")
       .With("outcome", is_idle ? "drained" : "timeout");
-  std::exchange(m_drained, nullptr)();
+  std::exchange(m_on_drained, nullptr)();
 }
 
 void Node::Send(const BackendServerId& peer, wire::Envelope message) {
@@ -282,8 +282,8 @@
   // Two nodes may know a change of a live inventory at different times.
   if (m_seams.has_live_inventory && !needs_key) return !peer.IsEmpty();
   for (const BackendServer& server : declaration->backend_servers) {
-    const bool key_fits = !needs_key || server.peer_public_key == public_key;
-    if (key_fits && (peer.IsEmpty() || server.id == peer)) return true;
+    const bool key_matches = !needs_key || server.peer_public_key == public_key;
+    if (key_matches && (peer.IsEmpty() || server.id == peer)) return true;
   }
   return false;
 }
@@ -298,7 +298,7 @@
   json.insert("server", QString::fromStdString(m_identity.server.Value()));
   json.insert("region", QString::fromStdString(m_settings.region.Value()));
   json.insert("data_centre", QString::fromStdString(m_settings.data_centre.Value()));
-  json.insert("configuration_version", static_cast<qint64>(m_version.load()));
+  json.insert("configuration_version", static_cast<qint64>(m_configuration_version.load()));
   json.insert("draining", state.draining());
   json.insert("in_flight", static_cast<int>(state.in_flight()));
   json.insert("queued", static_cast<int>(state.queued()));
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -78,9 +78,9 @@
   BodyBudget m_body_budget;
   RequestLog m_request_log;
   std::atomic<std::shared_ptr<const Declaration>> m_declaration;
-  std::atomic<std::uint64_t> m_version{0};
+  std::atomic<std::uint64_t> m_configuration_version{0};
   std::atomic<std::size_t> m_caller_connections{0};
-  ViewGate m_gate;
+  ViewGate m_view_gate;
   SharedRouter m_router;
   SharedCrashGuard m_crash_guard;
   OwnerService m_owner;
@@ -93,7 +93,7 @@
   std::unique_ptr<AdminServer> m_admin;
   std::unique_ptr<LoadProbe> m_load_probe;
   QTimer m_timer;
-  std::function<void()> m_drained;
+  std::function<void()> m_on_drained;
   TimePoint m_drain_started{};
   std::optional<TimePoint> m_idle_since;  // During a drain.
   bool m_is_closing = false;
--- a/src/libs/owner/crashreporter.cpp
+++ b/src/libs/owner/crashreporter.cpp
@@ -49,7 +49,7 @@
   m_probe = Probe::kNone;
   if (!is_crash) return m_guard.DismissAborted();
   const std::vector<std::string> digests = m_guard.ConfirmCrash();
-  m_metrics.Add(Metric::kCrashesSeen);
+  m_metrics.Add(Metric::kBackendCrashes);
   EventLine(LogPart::kOwner, LogLevel::kWarning, "server_crashed")
       .With("in_flight", static_cast<std::int64_t>(digests.size()));
   Report(digests, false, linked_peers);
--- a/src/libs/owner/ownerservice.cpp
+++ b/src/libs/owner/ownerservice.cpp
@@ -553,7 +553,7 @@
     RefuseUnrun(id, Reason::kQueueFullTime);
   }
   if (m_pause.NoteTick(now)) {
-    m_metrics.Add(Metric::kPausesSeen);
+    m_metrics.Add(Metric::kProcessPauses);
     LogEvent(LogPart::kOwner, LogLevel::kWarning, "paused");
   }
   Continue(m_claims.Tick(now, WallNow()));
--- a/tests/auto/logging/tst_requestlog.cpp
+++ b/tests/auto/logging/tst_requestlog.cpp
@@ -16,8 +16,8 @@
  public:
   void LogsAllRequestsOfAQuietSecond() {
     RequestLog log;
-    for (std::uint64_t request = 0; request < kFullyLoggedPerSecond; ++request) {
-      log.NoteRequest(At(0));
+    for (std::uint64_t request = 0; request < kFullyLoggedRequestsPerSecond; ++request) {
+      log.RecordRequest(At(0));
       CPPUNIT_ASSERT(log.IsSampled(std::to_string(request)));
     }
   }
@@ -26,8 +26,8 @@
   void SamplesTheSameRequestsAtEveryNode() {
     RequestLog busy;
     RequestLog busier;
-    Fill(busy, 10 * kFullyLoggedPerSecond);
-    Fill(busier, 40 * kFullyLoggedPerSecond);
+    RecordRequests(busy, 10 * kFullyLoggedRequestsPerSecond);
+    RecordRequests(busier, 40 * kFullyLoggedRequestsPerSecond);
     std::size_t by_busy = 0;
     std::size_t by_busier = 0;
     for (int request = 0; request < 10000; ++request) {
@@ -42,19 +42,19 @@
   void FailureLinesAreBoundedASecond() {
     RequestLog log;
     std::uint64_t written = 0;
-    for (std::uint64_t line = 0; line < 3 * kFailureLinesPerSecond; ++line) {
-      written += log.TakeFailureLine(At(0)) ? 1 : 0;
+    for (std::uint64_t line = 0; line < 3 * kMaxFailureLinesPerSecond; ++line) {
+      written += log.TryConsumeFailureLine(At(0)) ? 1 : 0;
     }
-    CPPUNIT_ASSERT_EQUAL(kFailureLinesPerSecond, written);
-    CPPUNIT_ASSERT_EQUAL(2 * kFailureLinesPerSecond, log.DroppedFailureLines());
-    CPPUNIT_ASSERT(log.TakeFailureLine(At(1)));
+    CPPUNIT_ASSERT_EQUAL(kMaxFailureLinesPerSecond, written);
+    CPPUNIT_ASSERT_EQUAL(2 * kMaxFailureLinesPerSecond, log.DroppedFailureLines());
+    CPPUNIT_ASSERT(log.TryConsumeFailureLine(At(1)));
   }
 
  private:
   static TimePoint At(int second) { return TimePoint(std::chrono::seconds(1000 + second)); }
 
-  static void Fill(RequestLog& log, std::uint64_t requests) {
-    for (std::uint64_t request = 0; request < requests; ++request) log.NoteRequest(At(0));
+  static void RecordRequests(RequestLog& log, std::uint64_t requests) {
+    for (std::uint64_t request = 0; request < requests; ++request) log.RecordRequest(At(0));
   }
 };
 
