--- a/src/app/node/main.cpp
+++ b/src/app/node/main.cpp
@@ -18,14 +18,14 @@
 using damaskhollow::LoadedSettings;
 using damaskhollow::Result;
 
-// Each arena of the allocator keeps freed memory for itself; with one per thread a node exceeds its
-// 32 MB.
+// Maximum number of malloc arenas. Each arena retains the memory freed in it, and with one arena
+// per thread a node exceeds its memory budget of 32 MB.
 constexpr int kMaxAllocatorArenas = 2;
 constexpr int kUsageExitStatus = 2;
 constexpr int kStartFailedExitStatus = 1;
 
-// Blocks SIGTERM and SIGINT in all threads and returns a descriptor that becomes readable when one
-// arrives.
+// Blocks SIGTERM and SIGINT in this thread and in threads started later. Returns a file descriptor
+// that becomes readable when one of them arrives.
 int OpenStopSignalDescriptor() {
   sigset_t signals;
   sigemptyset(&signals);
--- a/src/libs/logging/logger.cpp
+++ b/src/libs/logging/logger.cpp
@@ -25,7 +25,8 @@
 
 namespace sinks = boost::log::sinks;
 
-// About 300 bytes a line, so that a reader that stops costs at most some 600 KB.
+// Capacity of the line queue. At about 300 bytes per line, a stalled reader of standard output
+// costs at most about 600 KB of memory.
 constexpr std::size_t kMaxQueuedLines = 2000;
 
 constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warning", "error"};
@@ -35,7 +36,7 @@
 std::atomic<std::uint64_t> dropped_lines{0};
 std::atomic<LogLevel> min_level{LogLevel::kInfo};
 
-// Drops what the queue cannot take, and counts it.
+// Overflow policy of the line queue: drops and counts lines that do not fit, without blocking.
 class CountingOverflowPolicy {
  public:
   template <class Lock>
@@ -55,6 +56,7 @@
     sinks::asynchronous_sink<Backend,
                              sinks::bounded_fifo_queue<kMaxQueuedLines, CountingOverflowPolicy>>;
 
+// The sink that is installed at present; null while logging is stopped.
 boost::shared_ptr<Sink>& RunningSink() {
   static boost::shared_ptr<Sink> sink;
   return sink;
@@ -65,6 +67,7 @@
   BOOST_LOG_SEV(logger, level) << line;
 }
 
+// The fields that start each line: level, part and event.
 std::string LinePrefix(LogPart part, LogLevel level, std::string_view event) {
   std::string line = "level=";
   line += kLevelNames[static_cast<std::size_t>(level)];
@@ -75,7 +78,9 @@
   return line;
 }
 
-// Quotes a value that is empty or has characters that would end it, on one line.
+// Puts a value in double quotes if it is empty or has white space, control characters, `"` or `=`,
+// which would end it. Inside the quotes, `"` becomes `'` and control characters become spaces, so
+// that the line is not broken.
 std::string Quoted(std::string_view value) {
   const bool is_plain =
       !value.empty() && std::all_of(value.begin(), value.end(), [](char character) {
--- a/src/libs/logging/logger.h
+++ b/src/libs/logging/logger.h
@@ -10,7 +10,7 @@
 
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
-// Parts of the system; each line names its part.
+// The part of the system that a log line comes from, written in its `part` field.
 enum class LogPart {
   kNode,
   kIngress,
@@ -22,41 +22,44 @@
   kAdmin,
 };
 
-// The level with the given name (debug, info, warning, error); empty when there is none.
+// Returns the level with the given name (debug, info, warning or error), or nullopt if the name is
+// none of these.
 std::optional<LogLevel> LogLevelFromName(std::string_view name);
 
-// Sends log lines of at least `level` to standard output, one a record, as `field=value` pairs.
-// Lines are written by a thread of their own; when it falls behind, further lines are dropped and
-// counted, so that a reader that stops never holds up a call.
+// Starts writing log lines of at least `level` to standard output, each as `field=value` pairs. A
+// separate thread writes the lines. While its queue is full, new lines are dropped and counted, so
+// that a stalled reader never delays a call.
 void StartLogging(LogLevel level);
 
-// Writes what is queued and stops. Lines that come later are lost.
+// Writes the queued lines and stops logging. Lines logged later are lost.
 void StopLogging();
 
-// Lines dropped since the start because the queue was full.
+// Number of lines dropped because the queue was full, since the process started.
 std::uint64_t DroppedLogLines();
 
 // Whether lines of this level are written.
 bool IsLogged(LogLevel level);
 
-// One log line of structured fields, written when the object ends. Values are quoted where needed.
+// Builds one log line of structured fields and writes it in the destructor. Values are quoted where
+// needed.
 class EventLine {
  public:
-  // `wanted` is false for a line that a bound on the log leaves out.
+  // Nothing is written if `is_enabled` is false, as for lines omitted by sampling or rate limits.
   EventLine(LogPart part, LogLevel level, std::string_view event, bool is_enabled = true);
   ~EventLine();
   EventLine(EventLine&& other) noexcept;
   EventLine& operator=(const EventLine&) = delete;
 
+  // Appends a field to the line.
   EventLine& With(std::string_view field, std::string_view value);
   EventLine& With(std::string_view field, std::int64_t value);
 
  private:
   const LogLevel m_level;
-  std::string m_line;  // Empty if the level is not logged.
+  std::string m_line;  // Empty if the line is not written.
 };
 
-// Writes a log line without fields of its own.
+// Writes a log line without further fields.
 void LogEvent(LogPart part, LogLevel level, std::string_view event);
 
 }  // namespace damaskhollow
--- a/src/libs/logging/requestlog.cpp
+++ b/src/libs/logging/requestlog.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+// A window starts by sampling at least one request in 2^16.
 constexpr unsigned kMaxSamplingShift = 16;
 
 }  // namespace
--- a/src/libs/logging/requestlog.h
+++ b/src/libs/logging/requestlog.h
@@ -9,38 +9,42 @@
 
 namespace damaskhollow {
 
-// Requests of which each line is written while no more come in a second. Beyond it, lines are
-// written for a part of the requests, the same ones at every node.
+// Up to this number of requests per second, every request is logged. Above it, requests are sampled
+// by a hash of their id, so that a request sampled by one node is also sampled by every node with
+// an equal or higher sampling rate.
 inline constexpr std::uint64_t kFullyLoggedRequestsPerSecond = 100;
 
-// Lines on failures in a second; further ones are dropped.
+// Maximum number of failure lines written per second; further ones are dropped.
 inline constexpr std::uint64_t kMaxFailureLinesPerSecond = 200;
 
-// Decides which lines on requests are written, so that logging stays bounded under a flood. May be
-// used from any thread.
+// Decides which log lines about requests are written, by sampling requests and limiting the rate of
+// failure lines, so that the log volume stays bounded under overload. Thread-safe.
 class RequestLog {
  public:
-  // Notes a request that came in.
+  // Counts an incoming request towards the sampling rate.
   void RecordRequest(TimePoint now);
 
-  // Whether the lines on the usual course of this request are written.
+  // Whether the lines about the normal processing of this request are written.
   bool IsSampled(std::string_view request_id) const;
 
-  // Whether one more line on a failure is written.
+  // Returns whether one more failure line may be written in the current second, and counts it as
+  // written or as dropped.
   bool TryConsumeFailureLine(TimePoint now);
 
-  // Failure lines that were not written.
+  // Number of failure lines dropped by the rate limit.
   std::uint64_t DroppedFailureLines() const;
 
  private:
+  // Starts a new window of one second if the current one is over. Its sampling rate starts from the
+  // number of requests in the previous window.
   void AdvanceWindow(TimePoint now);
 
   mutable std::mutex m_lock;
   TimePoint m_window_start{};
-  std::uint64_t m_requests = 0;  // In this second.
+  std::uint64_t m_requests = 0;  // In the current window.
   std::uint64_t m_failure_lines = 0;
   std::uint64_t m_dropped_failure_lines = 0;
-  unsigned m_sampling_shift = 0;  // One request in 2 to the power of this is sampled.
+  unsigned m_sampling_shift = 0;  // One request in 2^m_sampling_shift is sampled.
 };
 
 }  // namespace damaskhollow
--- a/src/libs/metrics/metricsregistry.h
+++ b/src/libs/metrics/metricsregistry.h
@@ -47,10 +47,10 @@
   kCount,
 };
 
-// Collects what a node reports on its admin port. All members may be called from any thread.
+// Collects the metrics that a node serves on its admin port. Thread-safe.
 class MetricsRegistry {
  public:
-  // Adds to a counter.
+  // Increases a counter.
   void Add(Metric metric, std::uint64_t amount = 1);
 
   // Sets a gauge.
@@ -59,17 +59,18 @@
   // Counts a call that was refused or failed for `reason`.
   void CountRefusal(Reason reason);
 
-  // Counts a call that is tried again on another backend server because of `reason`.
+  // Counts a call that is retried on another backend server because of `reason`.
   void CountRetry(Reason reason);
 
-  // Records the time from a caller's complete request to the end of its answer.
+  // Records the time from a caller's complete request to the end of the response.
   void RecordLatency(const PriorityId& priority, Duration latency);
 
   std::uint64_t Value(Metric metric) const;
   std::uint64_t Refusals(Reason reason) const;
   std::uint64_t Retries(Reason reason) const;
 
-  // All metrics in the Prometheus text format.
+  // Returns all metrics in the Prometheus text format, including the CPU time and memory of the
+  // process.
   std::string PrometheusText() const;
 
  private:
--- a/src/libs/metrics/processusage.h
+++ b/src/libs/metrics/processusage.h
@@ -6,16 +6,16 @@
 
 namespace damaskhollow {
 
-// What this process uses of its VM.
+// CPU time and memory used by this process.
 struct ProcessUsage {
-  double cpu_seconds = 0.0;               // User and system time since the start.
-  std::size_t resident_memory_bytes = 0;  // Resident now.
+  double cpu_seconds = 0.0;               // User and system CPU time since the process started.
+  std::size_t resident_memory_bytes = 0;  // Current resident set size.
 };
 
-// Asks the operating system; fields that it does not tell are 0.
+// Reads the usage from the operating system. Fields that cannot be read are 0.
 ProcessUsage ReadProcessUsage();
 
-// The usage as lines in the Prometheus text format.
+// Returns the usage in the Prometheus text format.
 std::string PrometheusText(const ProcessUsage& usage);
 
 }  // namespace damaskhollow
--- a/src/libs/node/adminserver.h
+++ b/src/libs/node/adminserver.h
@@ -12,8 +12,9 @@
 
 namespace damaskhollow {
 
-// Serves /metrics, /healthz, /status and, at `ready_path`, whether the node is ready. All handlers
-// are synchronous: Qt's HTTP server crashes when a caller leaves before an asynchronous answer.
+// HTTP server of the admin port. Serves /metrics, /healthz, /status and, at `ready_path`, whether
+// the node is ready. All handlers are synchronous because Qt's HTTP server crashes if a client
+// disconnects before an asynchronous response.
 class AdminServer {
  public:
   using StatusSource = std::function<QJsonObject()>;
@@ -22,7 +23,7 @@
   AdminServer(const MetricsRegistry& metrics, const std::string& ready_path, StatusSource status,
               ReadySource ready);
 
-  // Fails with kSocket.
+  // Starts serving on `endpoint`. Fails with kSocket if the endpoint cannot be used.
   Result<void> Listen(const Endpoint& endpoint);
 
  private:
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTickInterval{20};
-// The last answers are handed to the peer thread before the owner is idle; they need some time to
-// reach the network.
+// How long a draining node must be idle before it stops. The final responses are handed to the peer
+// thread before the owner is idle, and need this time to reach the network.
 constexpr std::chrono::milliseconds kResponseFlushTime{250};
 
 Result<std::string> ReadFile(const std::string& path) {
@@ -130,7 +130,7 @@
 
 void Node::Tick() {
   const TimePoint now = MonotonicNow();
-  m_control->Tick(now);  // First, as it closes the view gate after a pause.
+  m_control->Tick(now);  // Must be first: closes the view gate after a pause.
   m_owner.Tick(now);
   CheckCrashes();
   m_metrics.Set(Metric::kCallerConnections, m_caller_connections.load());
@@ -246,7 +246,7 @@
       for (const wire::CrashReport& report : message.gossip().crash_reports()) {
         m_crash_guard.NoteReport(route.peer, report);
       }
-      // Crash reports are sent alone.
+      // A message with crash reports carries no other gossip.
       if (message.gossip().crash_reports_size() == 0) {
         m_control->HandleMessage(route, std::move(message));
       }
@@ -279,7 +279,8 @@
   const std::shared_ptr<const Declaration> declaration = m_declaration.load();
   if (!declaration) return peer.IsEmpty() ? false : m_settings.secret_key_file.empty();
   const bool needs_key = !m_settings.secret_key_file.empty();
-  // Two nodes may know a change of a live inventory at different times.
+  // Changes of a live inventory reach nodes at different times, so a peer may be valid although it
+  // is not in the local declaration.
   if (m_seams.has_live_inventory && !needs_key) return !peer.IsEmpty();
   for (const BackendServer& server : declaration->backend_servers) {
     const bool key_matches = !needs_key || server.peer_public_key == public_key;
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -34,17 +34,21 @@
 
 namespace damaskhollow {
 
-// One node: wires the ingress, owner and control roles together. Lives on the main thread.
+// One node of the load balancer. Creates the ingress, owner and control services, routes messages
+// between them and the peers, and runs their periodic work. Lives on the main thread; the members
+// of Messenger may be called from any thread, and those of PeerHandler are called on the
+// transport's thread.
 class Node : public QObject, public Messenger, public PeerHandler {
  public:
   Node(NodeSettings settings, NodeSeams seams);
   ~Node() override;
 
-  // Reads the declaration and opens all ports.
+  // Loads the keys and the declaration, starts the worker threads and services, and opens all
+  // ports. Fails if a file cannot be used or a port cannot be opened.
   Result<void> Start();
 
-  // Starts a graceful stop: refuses new work as owner, tells peers, finishes what is in flight,
-  // then calls `done`.
+  // Starts a graceful shutdown: the owner refuses new calls and announces this to peers, and calls
+  // in flight are completed. Calls `done` when the node is idle or the drain timeout has passed.
   void StartDrain(std::function<void()> done);
 
  private:
@@ -65,8 +69,12 @@
   Result<LinkKeys> LoadKeys() const;
   void ApplyDeclaration(const std::shared_ptr<const Declaration>& declaration,
                         std::uint64_t version);
+  // Runs the periodic work of the services and updates gauges.
   void Tick();
+  // Lets the crash reporter check the local backend server.
   void CheckCrashes();
+  // Continues a drain: stops accepting callers once the announcement time has passed, and ends the
+  // drain when the node is idle or the drain timeout has passed.
   void CheckDrained();
   bool IsReady() const;
   QJsonObject Status() const;
@@ -93,9 +101,9 @@
   std::unique_ptr<AdminServer> m_admin;
   std::unique_ptr<LoadProbe> m_load_probe;
   QTimer m_timer;
-  std::function<void()> m_on_drained;
+  std::function<void()> m_on_drained;  // Set during a drain.
   TimePoint m_drain_started{};
-  std::optional<TimePoint> m_idle_since;  // During a drain.
+  std::optional<TimePoint> m_idle_since;  // Set while a draining node has no work.
   bool m_is_closing = false;
 
   mutable std::mutex m_peers_lock;
--- a/tests/auto/logging/tst_requestlog.cpp
+++ b/tests/auto/logging/tst_requestlog.cpp
@@ -22,7 +22,8 @@
     }
   }
 
-  // A request that a busier node logs is logged by a less busy one too.
+  // Every request that a busier node samples must also be sampled by a less busy node, so that its
+  // log lines can be followed across nodes.
   void SamplesTheSameRequestsAtEveryNode() {
     RequestLog busy;
     RequestLog busier;
--- a/tests/auto/metrics/tst_processusage.cpp
+++ b/tests/auto/metrics/tst_processusage.cpp
@@ -12,7 +12,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against figures of 0 that pass for a cheap node.
+  // Guards against failed reads, whose values of 0 would look like a node that uses no resources.
   void ReadsThisProcess() {
     constexpr std::size_t kSmallestProcessBytes = 1UL << 20;
     const ProcessUsage usage = ReadProcessUsage();
