--- a/src/libs/metrics/processusage.cpp
+++ b/src/libs/metrics/processusage.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-double Seconds(const timeval& time) {
-  constexpr double kMicroseconds = 1e6;
-  return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / kMicroseconds;
+double ToSeconds(const timeval& time) {
+  constexpr double kMicrosecondsPerSecond = 1e6;
+  return static_cast<double>(time.tv_sec) +
+         static_cast<double>(time.tv_usec) / kMicrosecondsPerSecond;
 }
 
 }  // namespace
@@ -21,7 +22,7 @@
   ProcessUsage usage;
   rusage times{};
   if (::getrusage(RUSAGE_SELF, &times) == 0) {
-    usage.cpu_seconds = Seconds(times.ru_utime) + Seconds(times.ru_stime);
+    usage.cpu_seconds = ToSeconds(times.ru_utime) + ToSeconds(times.ru_stime);
   }
   std::ifstream statm("/proc/self/statm");
   std::size_t total_pages = 0;
--- a/src/libs/node/node.cpp
+++ b/src/libs/node/node.cpp
@@ -45,7 +45,7 @@
   m_admin.reset();
   m_owner.SetLoadProbe(nullptr);
   if (m_ingress) m_ingress->Stop();
-  if (m_pool) m_pool->Stop();
+  if (m_backend_pool) m_backend_pool->Stop();
   if (m_transport) m_transport->Stop();
   for (const std::unique_ptr<EventThread>& worker : m_workers) worker->Stop();
 }
@@ -56,8 +56,8 @@
   for (std::size_t index = 0; index < m_settings.workers; ++index) {
     m_workers.push_back(std::make_unique<EventThread>("worker-" + std::to_string(index)));
   }
-  m_pool = std::make_unique<BackendPool>(m_workers, m_owner);
-  m_owner.SetBackendPool(m_pool.get());
+  m_backend_pool = std::make_unique<BackendPool>(m_workers, m_owner);
+  m_owner.SetBackendPool(m_backend_pool.get());
   m_transport = std::make_unique<PeerTransport>(
       TransportOptions{m_identity.server, m_identity.incarnation, m_settings.peer_listen,
                        keys.value(),
@@ -132,7 +132,7 @@
   const TimePoint now = MonotonicNow();
   m_control->Tick(now);  // Must be first: closes the view gate after a pause.
   m_owner.Tick(now);
-  CheckCrashes();
+  CheckBackendCrashes();
   m_metrics.Set(Metric::kCallerConnections, m_caller_connections.load());
   m_metrics.Set(Metric::kLogLinesDropped, DroppedLogLines());
   m_metrics.Set(Metric::kFailureLinesDropped, m_request_log.DroppedFailureLines());
@@ -140,7 +140,7 @@
   if (m_on_drained) CheckDrained();
 }
 
-void Node::CheckCrashes() {
+void Node::CheckBackendCrashes() {
   const std::shared_ptr<const Declaration> declaration = m_declaration.load();
   const BackendServer* server = declaration ? declaration->FindServer(m_identity.server) : nullptr;
   if (server == nullptr) return;
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -72,7 +72,7 @@
   // Runs the periodic work of the services and updates gauges.
   void Tick();
   // Lets the crash reporter check the local backend server.
-  void CheckCrashes();
+  void CheckBackendCrashes();
   // Continues a drain: stops accepting callers once the announcement time has passed, and ends the
   // drain when the node is idle or the drain timeout has passed.
   void CheckDrained();
@@ -94,7 +94,7 @@
   OwnerService m_owner;
   CrashReporter m_crash_reporter;
   std::vector<std::unique_ptr<EventThread>> m_workers;
-  std::unique_ptr<BackendPool> m_pool;
+  std::unique_ptr<BackendPool> m_backend_pool;
   std::unique_ptr<IngressService> m_ingress;
   std::unique_ptr<PeerTransport> m_transport;
   std::unique_ptr<ControlService> m_control;
