--- a/src/libs/node/adminserver.h
+++ b/src/libs/node/adminserver.h
@@ -13,7 +13,7 @@
 namespace damaskhollow {
 
 // HTTP server of the admin port. Serves /metrics, /healthz, /status and, at `ready_path`, whether
-// the node is ready. All handlers are synchronous because Qt's HTTP server crashes if a client
+// the node is ready. All handlers are synchronous because Qt's HTTP server crashes if a caller
 // disconnects before an asynchronous response.
 class AdminServer {
  public:
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -43,8 +43,8 @@
   Node(NodeSettings settings, NodeSeams seams);
   ~Node() override;
 
-  // Loads the keys and the declaration, starts the worker threads and services, and opens all
-  // ports. Fails if a file cannot be used or a port cannot be opened.
+  // Loads the keys and the declaration file, if they are set, starts the worker threads and
+  // services, and opens all ports. Fails if a file cannot be used or a port cannot be opened.
   Result<void> Start();
 
   // Starts a graceful shutdown: the owner refuses new calls and announces this to peers, and calls
--- a/tests/auto/logging/tst_requestlog.cpp
+++ b/tests/auto/logging/tst_requestlog.cpp
@@ -22,8 +22,7 @@
     }
   }
 
-  // Every request that a busier node samples must also be sampled by a less busy node, so that its
-  // log lines can be followed across nodes.
+  // Every request that a busier node samples must also be sampled by a less busy node.
   void SamplesTheSameRequestsAtEveryNode() {
     RequestLog busy;
     RequestLog busier;
