--- a/src/libs/calls/calllog.h
+++ b/src/libs/calls/calllog.h
@@ -19,7 +19,7 @@
   CallLog(RequestLog& log, LogPart part) : m_log(log), m_part(part) {}
 
   // Counts an incoming request; the sampling rate depends on the request rate.
-  void RecordRequest(TimePoint now) { m_log.NoteRequest(now); }
+  void RecordRequest(TimePoint now) { m_log.RecordRequest(now); }
 
   // Starts a line about the normal progress of a call. Written for sampled requests only.
   EventLine Step(std::string_view event, std::string_view request) const;
--- a/src/libs/logging/logger.cpp
+++ b/src/libs/logging/logger.cpp
@@ -25,18 +25,19 @@
 
 namespace sinks = boost::log::sinks;
 
-// About 300 bytes a line, so that a reader that stops costs at most some 600 KB.
-constexpr std::size_t kQueuedLines = 2000;
+// Capacity of the line queue. At about 300 bytes per line, a stalled reader of standard output
+// costs at most about 600 KB of memory.
+constexpr std::size_t kMaxQueuedLines = 2000;
 
 constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warning", "error"};
 constexpr std::array<std::string_view, 8> kPartNames{"node",          "ingress", "owner", "routing",
                                                      "configuration", "fleet",   "link",  "admin"};
 
 std::atomic<std::uint64_t> dropped_lines{0};
-std::atomic<LogLevel> least_level{LogLevel::kInfo};
+std::atomic<LogLevel> min_level{LogLevel::kInfo};
 
-// Drops what the queue cannot take, and counts it.
-class CountDropped {
+// Overflow policy of the line queue: drops and counts lines that do not fit, without blocking.
+class CountingOverflowPolicy {
  public:
   template <class Lock>
   // NOLINTNEXTLINE(readability-identifier-naming): name fixed by Boost.Log.
@@ -52,8 +53,10 @@
 
 using Backend = sinks::text_ostream_backend;
 using Sink =
-    sinks::asynchronous_sink<Backend, sinks::bounded_fifo_queue<kQueuedLines, CountDropped>>;
+    sinks::asynchronous_sink<Backend,
+                             sinks::bounded_fifo_queue<kMaxQueuedLines, CountingOverflowPolicy>>;
 
+// The sink that is installed at present; null while logging is stopped.
 boost::shared_ptr<Sink>& RunningSink() {
   static boost::shared_ptr<Sink> sink;
   return sink;
@@ -64,7 +67,8 @@
   BOOST_LOG_SEV(logger, level) << line;
 }
 
-std::string StartOf(LogPart part, LogLevel level, std::string_view event) {
+// The fields that start each line: level, part and event.
+std::string LinePrefix(LogPart part, LogLevel level, std::string_view event) {
   std::string line = "level=";
   line += kLevelNames[static_cast<std::size_t>(level)];
   line += " part=";
@@ -74,16 +78,19 @@
   return line;
 }
 
-// Quotes a value that is empty or has characters that would end it, on one line.
+// Puts a value in double quotes if it is empty or has white space, control characters, `"` or `=`,
+// which would end it. Inside the quotes, `"` becomes `'` and control characters become spaces, so
+// that the line is not broken.
 std::string Quoted(std::string_view value) {
-  const bool is_plain = !value.empty() && std::all_of(value.begin(), value.end(), [](char letter) {
-    return letter > ' ' && letter != '"' && letter != '=';
-  });
+  const bool is_plain =
+      !value.empty() && std::all_of(value.begin(), value.end(), [](char character) {
+        return character > ' ' && character != '"' && character != '=';
+      });
   if (is_plain) return std::string(value);
   std::string quoted = "\"";
-  for (const char letter : value) {
-    const bool is_control = static_cast<unsigned char>(letter) < ' ';
-    quoted += letter == '"' ? '\'' : (is_control ? ' ' : letter);
+  for (const char character : value) {
+    const bool is_control = static_cast<unsigned char>(character) < ' ';
+    quoted += character == '"' ? '\'' : (is_control ? ' ' : character);
   }
   return quoted + '"';
 }
@@ -98,7 +105,7 @@
 }
 
 void StartLogging(LogLevel level) {
-  least_level.store(level);
+  min_level.store(level);
   auto backend = boost::make_shared<Backend>();
   backend->add_stream(boost::shared_ptr<std::ostream>(&std::cout, boost::null_deleter()));
   backend->auto_flush(true);
@@ -125,11 +132,11 @@
 
 std::uint64_t DroppedLogLines() { return dropped_lines.load(std::memory_order_relaxed); }
 
-bool IsLogged(LogLevel level) { return level >= least_level.load(std::memory_order_relaxed); }
+bool IsLogged(LogLevel level) { return level >= min_level.load(std::memory_order_relaxed); }
 
-EventLine::EventLine(LogPart part, LogLevel level, std::string_view event, bool wanted)
+EventLine::EventLine(LogPart part, LogLevel level, std::string_view event, bool is_enabled)
     : m_level(level) {
-  if (wanted && IsLogged(level)) m_line = StartOf(part, level, event);
+  if (is_enabled && IsLogged(level)) m_line = LinePrefix(part, level, event);
 }
 
 EventLine::EventLine(EventLine&& other) noexcept
--- a/src/libs/owner/ownerservice.cpp
+++ b/src/libs/owner/ownerservice.cpp
@@ -556,7 +556,7 @@
     RefuseNotRun(id, Reason::kQueueFullTime);
   }
   if (m_pause_detector.RecordTick(now)) {
-    m_metrics.Add(Metric::kPausesSeen);
+    m_metrics.Add(Metric::kProcessPauses);
     LogEvent(LogPart::kOwner, LogLevel::kWarning, "paused");
   }
   HandleClaimResults(m_claims.Tick(now, WallNow()));
