--- a/src/tools/damaskhollow/checkcommand.cpp
+++ b/src/tools/damaskhollow/checkcommand.cpp
@@ -24,7 +24,7 @@
   if (!parsed) return parsed.error();
   if (!parsed.value().failures.empty()) {
     PrintFailures(parsed.value());
-    return kNegativeStatus;
+    return kFailureStatus;
   }
   const Declaration& declaration = parsed.value().declaration;
   std::cout << path << ": valid; regions " << declaration.regions.size() << ", priorities "
--- a/src/tools/damaskhollow/command.h
+++ b/src/tools/damaskhollow/command.h
@@ -13,8 +13,8 @@
 
 // Exit statuses of the program.
 constexpr int kSuccessStatus = 0;
-constexpr int kNegativeStatus = 1;  // The input was understood, and the answer is no.
-constexpr int kUsageStatus = 2;     // Wrong arguments, or a file that cannot be read or created.
+constexpr int kFailureStatus = 1;  // The input was understood, and the answer is no.
+constexpr int kUsageStatus = 2;    // Wrong arguments, or a file that cannot be read or created.
 
 using Arguments = std::map<std::string, docopt::value>;
 
--- a/src/tools/damaskhollow/diffcommand.cpp
+++ b/src/tools/damaskhollow/diffcommand.cpp
@@ -26,15 +26,15 @@
 )";
 
 QJsonObject ToJson(const DeclarationChange& change) {
-  const auto text = [](std::string_view value) {
+  const auto to_qstring = [](std::string_view value) {
     return QString::fromUtf8(value.data(), static_cast<qsizetype>(value.size()));
   };
-  return QJsonObject{{"change", text(ChangeKindName(change.kind))},
-                     {"subject", text(change.subject)},
-                     {"field", text(change.field)},
-                     {"before", text(change.before)},
-                     {"after", text(change.after)},
-                     {"effect", text(change.effect)}};
+  return QJsonObject{{"change", to_qstring(ChangeKindName(change.kind))},
+                     {"subject", to_qstring(change.subject)},
+                     {"field", to_qstring(change.field)},
+                     {"before", to_qstring(change.before)},
+                     {"after", to_qstring(change.after)},
+                     {"effect", to_qstring(change.effect)}};
 }
 
 void PrintJson(const DeclarationDiff& diff) {
@@ -55,7 +55,7 @@
   if (!after) return after.error();
   PrintFailures(before.value());
   PrintFailures(after.value());
-  if (!before.value().failures.empty() || !after.value().failures.empty()) return kNegativeStatus;
+  if (!before.value().failures.empty() || !after.value().failures.empty()) return kFailureStatus;
   const DeclarationDiff diff(before.value().declaration, after.value().declaration);
   arguments.at("--json").asBool() ? PrintJson(diff) : PrintText(diff);
   return kSuccessStatus;
--- a/src/tools/damaskhollow/explaincommand.cpp
+++ b/src/tools/damaskhollow/explaincommand.cpp
@@ -25,25 +25,25 @@
   -h --help  Show this text.
 )";
 
-QString Text(std::string_view value) {
+QString ToQString(std::string_view value) {
   return QString::fromUtf8(value.data(), static_cast<qsizetype>(value.size()));
 }
 
-void PrintJson(std::span<const ReasonInfo> rows) {
+void PrintJson(std::span<const ReasonInfo> reasons) {
   QJsonArray list;
-  for (const ReasonInfo& info : rows) {
-    list.append(QJsonObject{{"reason", Text(info.name)},
-                            {"outcome", Text(OutcomeName(info.outcome))},
+  for (const ReasonInfo& info : reasons) {
+    list.append(QJsonObject{{"reason", ToQString(info.name)},
+                            {"outcome", ToQString(OutcomeName(info.outcome))},
                             {"http_status", info.http_status},
                             {"try_another_server", info.try_another_server},
-                            {"explanation", Text(info.explanation)},
-                            {"action", Text(info.action)}});
+                            {"explanation", ToQString(info.explanation)},
+                            {"action", ToQString(info.action)}});
   }
   std::cout << QJsonDocument(list).toJson().toStdString();
 }
 
-void PrintText(std::span<const ReasonInfo> rows) {
-  for (const ReasonInfo& info : rows) {
+void PrintText(std::span<const ReasonInfo> reasons) {
+  for (const ReasonInfo& info : reasons) {
     std::cout << info.name << " (" << OutcomeName(info.outcome) << ", HTTP " << info.http_status
               << (info.try_another_server ? ", another server may be tried" : "")
               << ")\n  What it means: " << info.explanation << "\n  What to do: " << info.action
@@ -52,7 +52,7 @@
 }
 
 Result<int> Run(const Arguments& arguments) {
-  std::span<const ReasonInfo> rows = ReasonTable();
+  std::span<const ReasonInfo> reasons = ReasonTable();
   const docopt::value& name = arguments.at("REASON");
   if (name.isString()) {
     const std::optional<Reason> reason = ReasonFromName(name.asString());
@@ -60,9 +60,9 @@
       return Failure{FailureCode::kUnknownReference, name.asString(),
                      "is not a reason; `damaskhollow explain` lists them"};
     }
-    rows = rows.subspan(static_cast<std::size_t>(*reason), 1);
+    reasons = reasons.subspan(static_cast<std::size_t>(*reason), 1);
   }
-  arguments.at("--json").asBool() ? PrintJson(rows) : PrintText(rows);
+  arguments.at("--json").asBool() ? PrintJson(reasons) : PrintText(reasons);
   return kSuccessStatus;
 }
 
--- a/src/tools/damaskhollow/keygencommand.cpp
+++ b/src/tools/damaskhollow/keygencommand.cpp
@@ -27,18 +27,18 @@
 The public key belongs in the declaration as peer_public_key, the file in the node's --secret-key-file.
 )";
 
-Failure FileFailure(const std::string& path) {
+Failure ErrnoFailure(const std::string& path) {
   return Failure{FailureCode::kFileNotCreated, path, std::generic_category().message(errno)};
 }
 
-Result<void> WriteSecret(const std::string& path, const std::string& secret_key) {
+Result<void> WriteSecretKey(const std::string& path, const std::string& secret_key) {
   constexpr mode_t kOwnerOnly = 0600;
   // O_EXCL: a key in use must not be overwritten, and no link be followed.
   const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kOwnerOnly);
-  if (file < 0) return FileFailure(path);
+  if (file < 0) return ErrnoFailure(path);
   const std::string line = secret_key + "\n";
   const bool is_written = ::write(file, line.data(), line.size()) == ssize_t(line.size());
-  const Failure failure = FileFailure(path);
+  const Failure failure = ErrnoFailure(path);
   ::close(file);
   if (is_written) return BOOST_OUTCOME_V2_NAMESPACE::success();
   ::unlink(path.c_str());
@@ -50,7 +50,7 @@
   if (!keys) return keys.error();
   const docopt::value& path = arguments.at("--secret-key-file");
   if (path.isString()) {
-    if (Result<void> result = WriteSecret(path.asString(), keys.value().secret_key); !result) {
+    if (Result<void> result = WriteSecretKey(path.asString(), keys.value().secret_key); !result) {
       return result.error();
     }
     std::cout << keys.value().public_key << '\n';
--- a/src/tools/damaskhollow/main.cpp
+++ b/src/tools/damaskhollow/main.cpp
@@ -21,9 +21,9 @@
 
 constexpr std::string_view kVersion = "damaskhollow 0.1.0";
 
-using CommandSource = const Command& (*)();
+using CommandGetter = const Command& (*)();
 
-constexpr std::array<CommandSource, 6> kCommands{
+constexpr std::array<CommandGetter, 6> kCommands{
     damaskhollow::CheckCommand,   damaskhollow::DiffCommand,  damaskhollow::StatusCommand,
     damaskhollow::ExplainCommand, damaskhollow::TraceCommand, damaskhollow::KeygenCommand};
 
@@ -32,8 +32,8 @@
          "Usage:\n  damaskhollow COMMAND [ARGUMENTS]\n  damaskhollow COMMAND --help\n"
          "  damaskhollow --version\n\nCommands:\n";
   constexpr std::size_t kNameWidth = 10;
-  for (const CommandSource source : kCommands) {
-    const Command& command = source();
+  for (const CommandGetter get_command : kCommands) {
+    const Command& command = get_command();
     out << "  " << command.name << std::string(kNameWidth - command.name.size(), ' ')
         << command.summary << '\n';
   }
@@ -65,8 +65,8 @@
     std::cout << kVersion << '\n';
     return damaskhollow::kSuccessStatus;
   }
-  for (const CommandSource source : kCommands) {
-    if (source().name == arguments.front()) return RunCommand(source(), arguments);
+  for (const CommandGetter get_command : kCommands) {
+    if (get_command().name == arguments.front()) return RunCommand(get_command(), arguments);
   }
   return Failure{FailureCode::kInvalidSetting, arguments.front(),
                  "is not a command; see `damaskhollow --help`"};
--- a/src/tools/damaskhollow/statuscommand.cpp
+++ b/src/tools/damaskhollow/statuscommand.cpp
@@ -39,48 +39,48 @@
 constexpr int kMaxTimeoutMs = 600000;
 
 // The answer of one node or why there is none.
-struct NodeAnswer {
+struct NodeResponse {
   std::string node;
   QJsonObject status;
   std::optional<Failure> failure;
 };
 
-NodeAnswer ReadAnswer(const std::string& node, QNetworkReply& reply) {
-  NodeAnswer answer{node, {}, std::nullopt};
+NodeResponse ReadResponse(const std::string& node, QNetworkReply& reply) {
+  NodeResponse response{node, {}, std::nullopt};
   if (reply.error() != QNetworkReply::NoError) {
-    answer.failure = Failure{FailureCode::kUnavailable, node, reply.errorString().toStdString()};
-    return answer;
+    response.failure = Failure{FailureCode::kUnavailable, node, reply.errorString().toStdString()};
+    return response;
   }
   const QJsonDocument document = QJsonDocument::fromJson(reply.readAll());
   if (!document.isObject()) {
-    answer.failure = Failure{FailureCode::kSyntax, node, "the answer is not a JSON object"};
-    return answer;
+    response.failure = Failure{FailureCode::kSyntax, node, "the answer is not a JSON object"};
+    return response;
   }
-  answer.status = document.object();
-  return answer;
+  response.status = document.object();
+  return response;
 }
 
-std::vector<NodeAnswer> AskNodes(const std::vector<std::string>& nodes, int timeout_ms) {
+std::vector<NodeResponse> QueryNodes(const std::vector<std::string>& nodes, int timeout_ms) {
   QNetworkAccessManager network;
   // Nodes are reached by IP number inside the fleet's network, never through a proxy.
   network.setProxy(QNetworkProxy::NoProxy);
   std::vector<std::unique_ptr<QNetworkReply>> replies;
   QEventLoop loop;
-  std::size_t waiting = nodes.size();
+  std::size_t pending = nodes.size();
   for (const std::string& node : nodes) {
     QNetworkRequest request(QUrl("http://" + QString::fromStdString(node) + "/status"));
     request.setTransferTimeout(timeout_ms);
     replies.emplace_back(network.get(request));
     QObject::connect(replies.back().get(), &QNetworkReply::finished, &loop, [&] {
-      if (--waiting == 0) loop.quit();
+      if (--pending == 0) loop.quit();
     });
   }
   loop.exec();
-  std::vector<NodeAnswer> answers;
+  std::vector<NodeResponse> responses;
   for (std::size_t index = 0; index < nodes.size(); ++index) {
-    answers.push_back(ReadAnswer(nodes[index], *replies[index]));
+    responses.push_back(ReadResponse(nodes[index], *replies[index]));
   }
-  return answers;
+  return responses;
 }
 
 // One column of the table: its heading and the field of /status.
@@ -103,14 +103,14 @@
   return value.isUndefined() ? "-" : value.toVariant().toString().toStdString();
 }
 
-void PrintTable(const std::vector<NodeAnswer>& answers) {
+void PrintTable(const std::vector<NodeResponse>& responses) {
   std::vector<std::vector<std::string>> rows{{"node"}};
   for (const Column& column : kColumns) rows.front().emplace_back(column.heading);
-  for (const NodeAnswer& answer : answers) {
-    if (answer.failure) continue;
-    rows.push_back({answer.node});
+  for (const NodeResponse& response : responses) {
+    if (response.failure) continue;
+    rows.push_back({response.node});
     for (const Column& column : kColumns) {
-      rows.back().push_back(CellText(answer.status.value(column.field)));
+      rows.back().push_back(CellText(response.status.value(column.field)));
     }
   }
   std::vector<std::size_t> widths(rows.front().size());
@@ -128,17 +128,17 @@
   }
 }
 
-void PrintJson(const std::vector<NodeAnswer>& answers) {
+void PrintJson(const std::vector<NodeResponse>& responses) {
   QJsonArray list;
-  for (const NodeAnswer& answer : answers) {
-    QJsonObject entry{{"node", QString::fromStdString(answer.node)}};
-    if (answer.failure) {
-      const std::string_view code = FailureName(answer.failure->code);
+  for (const NodeResponse& response : responses) {
+    QJsonObject entry{{"node", QString::fromStdString(response.node)}};
+    if (response.failure) {
+      const std::string_view code = FailureName(response.failure->code);
       entry.insert("failure",
                    QJsonObject{{"code", QString::fromUtf8(code.data(), qsizetype(code.size()))},
-                               {"detail", QString::fromStdString(answer.failure->detail)}});
+                               {"detail", QString::fromStdString(response.failure->detail)}});
     } else {
-      entry.insert("status", answer.status);
+      entry.insert("status", response.status);
     }
     list.append(entry);
   }
@@ -158,13 +158,13 @@
     return Failure{FailureCode::kInvalidSetting, "--timeout-ms",
                    "must be a whole number from 1 to " + std::to_string(kMaxTimeoutMs)};
   }
-  const std::vector<NodeAnswer> answers = AskNodes(nodes, timeout_ms);
-  arguments.at("--json").asBool() ? PrintJson(answers) : PrintTable(answers);
+  const std::vector<NodeResponse> responses = QueryNodes(nodes, timeout_ms);
+  arguments.at("--json").asBool() ? PrintJson(responses) : PrintTable(responses);
   int status = kSuccessStatus;
-  for (const NodeAnswer& answer : answers) {
-    if (!answer.failure) continue;
-    std::cerr << Describe(*answer.failure) << '\n';
-    status = kNegativeStatus;
+  for (const NodeResponse& response : responses) {
+    if (!response.failure) continue;
+    std::cerr << Describe(*response.failure) << '\n';
+    status = kFailureStatus;
   }
   return status;
 }
--- a/src/tools/damaskhollow/tracecommand.cpp
+++ b/src/tools/damaskhollow/tracecommand.cpp
@@ -53,7 +53,7 @@
     return left.time < right.time;
   });
   for (const LogLine& line : lines) std::cout << line.file << ": " << line.text << '\n';
-  return lines.empty() ? kNegativeStatus : kSuccessStatus;
+  return lines.empty() ? kFailureStatus : kSuccessStatus;
 }
 
 }  // namespace
--- a/tests/auto/tools/tst_loglines.cpp
+++ b/tests/auto/tools/tst_loglines.cpp
@@ -38,7 +38,7 @@
 }
 
 // The names of a line's fields; quoted values may have spaces.
-std::vector<std::string> FieldsOf(const std::string& line) {
+std::vector<std::string> FieldNames(const std::string& line) {
   std::vector<std::string> fields;
   std::size_t position = 0;
   while (position < line.size()) {
@@ -57,19 +57,19 @@
 class LogLinesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogLinesTest);
   CPPUNIT_TEST(EachFieldIsDocumented);
-  CPPUNIT_TEST(ReaderThatStopsDoesNotHoldUpCalls);
-  CPPUNIT_TEST(TracePutsTheLinesOfARequestInOrder);
+  CPPUNIT_TEST(StalledLogReaderDoesNotBlockCalls);
+  CPPUNIT_TEST(TraceSortsLinesOfOneRequestByTime);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // Starts a node, sends calls that fail in three ways, stops it and reads each line that it wrote.
   void EachFieldIsDocumented() {
     Start();
-    Call(
+    SendRequest(
         "GET /pages HTTP/1.1\r\nHost: portail.breizh.example\r\nDamaskhollow-Request-Id: "
         "1-a\r\n\r\n");
-    Call("GET /pages HTTP/1.1\r\nHost: unknown.example\r\n\r\n");
-    Call(
+    SendRequest("GET /pages HTTP/1.1\r\nHost: unknown.example\r\n\r\n");
+    SendRequest(
         "GET /pages HTTP/1.1\r\nHost: portail.breizh.example\r\nDamaskhollow-Deadline-Ms: "
         "x\r\n\r\n");
     m_process.terminate();
@@ -80,7 +80,7 @@
     for (const QByteArray& line : m_process.readAllStandardOutput().split('\n')) {
       if (line.isEmpty()) continue;
       const std::string text = line.toStdString();
-      for (const std::string& field : FieldsOf(text)) {
+      for (const std::string& field : FieldNames(text)) {
         CPPUNIT_ASSERT_MESSAGE(text, documented.contains(field));
       }
       const std::size_t event = text.find("event=") + 6;
@@ -92,18 +92,18 @@
   }
 
   // Guards against a call that waits for its log line to be read.
-  void ReaderThatStopsDoesNotHoldUpCalls() {
+  void StalledLogReaderDoesNotBlockCalls() {
     QProcess reader;
     m_process.setStandardOutputProcess(&reader);
     reader.start("sleep", {"60"});
     Start();
     constexpr int kCalls = 4000;  // Lines for several times what a pipe and the queue hold.
-    for (int call = 0; call < kCalls / 100; ++call) {
+    for (int batch = 0; batch < kCalls / 100; ++batch) {
       std::string requests;
       for (int index = 0; index < 100; ++index) {
         requests += "GET /x HTTP/1.1\r\nHost: unknown.example\r\n\r\n";
       }
-      CPPUNIT_ASSERT_EQUAL(100, CallMany(requests, 100));
+      CPPUNIT_ASSERT_EQUAL(100, SendRequests(requests, 100));
     }
     m_process.kill();
     m_process.waitForFinished();
@@ -111,7 +111,7 @@
     reader.waitForFinished();
   }
 
-  void TracePutsTheLinesOfARequestInOrder() {
+  void TraceSortsLinesOfOneRequestByTime() {
     const QTemporaryDir folder;
     const auto write = [&](const char* name, const char* text) {
       QFile file(folder.filePath(name));
@@ -137,31 +137,33 @@
 
  private:
   void Start() {
-    m_callers = test::FreeEndpoint();
+    m_listen_endpoint = test::FreeEndpoint();
     const auto address = [](const Endpoint& endpoint) {
       return QString::fromStdString(ToString(endpoint));
     };
     m_process.start(
         QCoreApplication::applicationDirPath() + "/damaskhollow-node",
         {"--server-id=portail-1", "--region=finistere", "--data-centre=brest",
-         "--listen=" + address(m_callers), "--peer-listen=" + address(test::FreeEndpoint()),
+         "--listen=" + address(m_listen_endpoint), "--peer-listen=" + address(test::FreeEndpoint()),
          "--admin-listen=" + address(test::FreeEndpoint()), "--workers=1", "--drain-announce-ms=0",
          "--drain-timeout-ms=1000",
          QString("--declaration-file=") + DAMASKHOLLOW_EXAMPLES_DIR + "/breizh.json"});
     CPPUNIT_ASSERT(m_process.waitForStarted());
     CPPUNIT_ASSERT(test::WaitUntil([&] {
       QTcpSocket socket;
-      socket.connectToHost("127.0.0.1", m_callers.port);
+      socket.connectToHost("127.0.0.1", m_listen_endpoint.port);
       return socket.waitForConnected(1000);
     }));
   }
 
-  void Call(const std::string& request) { CPPUNIT_ASSERT_EQUAL(1, CallMany(request, 1)); }
+  void SendRequest(const std::string& request) {
+    CPPUNIT_ASSERT_EQUAL(1, SendRequests(request, 1));
+  }
 
   // The answers that came to the requests, of which there are `count`.
-  int CallMany(const std::string& requests, int count) {
+  int SendRequests(const std::string& requests, int count) {
     QTcpSocket socket;
-    socket.connectToHost("127.0.0.1", m_callers.port);
+    socket.connectToHost("127.0.0.1", m_listen_endpoint.port);
     CPPUNIT_ASSERT(socket.waitForConnected());
     socket.write(requests.data(), static_cast<qint64>(requests.size()));
     QByteArray received;
@@ -173,7 +175,7 @@
   }
 
   QProcess m_process;
-  Endpoint m_callers;
+  Endpoint m_listen_endpoint;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(LogLinesTest);
--- a/tests/auto/tools/tst_operatorcommand.cpp
+++ b/tests/auto/tools/tst_operatorcommand.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr int kEndLimitMs = 60000;
+constexpr int kStartTimeoutMs = 60000;
 
 struct ProgramResult {
   int status = -1;
@@ -33,28 +33,29 @@
   QEventLoop loop;
   QObject::connect(&process, &QProcess::finished, &loop, &QEventLoop::quit);
   process.start(QCoreApplication::applicationDirPath() + "/damaskhollow", arguments);
-  CPPUNIT_ASSERT(process.waitForStarted(kEndLimitMs));
+  CPPUNIT_ASSERT(process.waitForStarted(kStartTimeoutMs));
   if (process.state() != QProcess::NotRunning) loop.exec();
   return ProgramResult{process.exitCode(), process.readAllStandardOutput(),
                        process.readAllStandardError()};
 }
 
-QString Example(const char* name) {
+QString ExamplePath(const char* name) {
   return QString(DAMASKHOLLOW_EXAMPLES_DIR) + "/" + name + ".json";
 }
 
 // Writes the example with one text replaced and returns the new file's name.
-QString ChangedExample(const QTemporaryDir& folder, const QByteArray& from, const QByteArray& to) {
-  QFile original(Example("breizh"));
+QString WriteModifiedExample(const QTemporaryDir& folder, const QByteArray& from,
+                             const QByteArray& to) {
+  QFile original(ExamplePath("breizh"));
   CPPUNIT_ASSERT(original.open(QIODevice::ReadOnly));
   const QByteArray text = original.readAll();
   const qsizetype position = text.indexOf(from);
   CPPUNIT_ASSERT(position >= 0);
-  QFile changed(folder.filePath("changed.json"));
-  CPPUNIT_ASSERT(changed.open(QIODevice::WriteOnly | QIODevice::Truncate));
-  QByteArray changed_text = text;
-  changed.write(changed_text.replace(position, from.size(), to));
-  return changed.fileName();
+  QFile modified(folder.filePath("changed.json"));
+  CPPUNIT_ASSERT(modified.open(QIODevice::WriteOnly | QIODevice::Truncate));
+  QByteArray modified_text = text;
+  modified.write(modified_text.replace(position, from.size(), to));
+  return modified.fileName();
 }
 
 bool Contains(const QByteArray& text, const char* part) { return text.contains(part); }
@@ -86,13 +87,13 @@
 class OperatorCommandTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(OperatorCommandTest);
   CPPUNIT_TEST(RefusesBadInput);
-  CPPUNIT_TEST(HelpsForEachCommand);
+  CPPUNIT_TEST(PrintsHelpForEachCommand);
   CPPUNIT_TEST(CheckAcceptsExamples);
   CPPUNIT_TEST(CheckNamesFileAndFieldPath);
-  CPPUNIT_TEST(DiffTellsWhatWouldChange);
+  CPPUNIT_TEST(DiffShowsEffectOfChange);
   CPPUNIT_TEST(ExplainCoversEachReason);
   CPPUNIT_TEST(KeygenNeverOverwrites);
-  CPPUNIT_TEST(StatusShowsNodesAndMissingOnes);
+  CPPUNIT_TEST(StatusReportsUnreachableNodes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -107,7 +108,7 @@
     }
   }
 
-  void HelpsForEachCommand() {
+  void PrintsHelpForEachCommand() {
     for (const char* command : {"check", "diff", "status", "explain", "keygen"}) {
       const ProgramResult result = RunProgram({command, "--help"});
       CPPUNIT_ASSERT_EQUAL_MESSAGE(command, 0, result.status);
@@ -119,14 +120,14 @@
   // Guards against examples that fall behind the format.
   void CheckAcceptsExamples() {
     for (const char* name : {"breizh", "slamkorsel"}) {
-      const ProgramResult result = RunProgram({"check", Example(name)});
+      const ProgramResult result = RunProgram({"check", ExamplePath(name)});
       CPPUNIT_ASSERT_EQUAL_MESSAGE(result.errors.toStdString(), 0, result.status);
     }
   }
 
   void CheckNamesFileAndFieldPath() {
     const QTemporaryDir folder;
-    const QString file = ChangedExample(folder, "\"slots\": 9", "\"slotz\": 9");
+    const QString file = WriteModifiedExample(folder, "\"slots\": 9", "\"slotz\": 9");
     const ProgramResult result = RunProgram({"check", file});
     CPPUNIT_ASSERT_EQUAL(1, result.status);
     const QByteArray path = file.toUtf8() + ": backend_servers[0].slot";
@@ -134,18 +135,18 @@
     CPPUNIT_ASSERT(result.errors.contains("unknown_field: " + path + "z:"));
   }
 
-  void DiffTellsWhatWouldChange() {
+  void DiffShowsEffectOfChange() {
     const QTemporaryDir folder;
-    const QString file = ChangedExample(folder, "\"slots\": 9", "\"slots\": 12");
-    const ProgramResult text = RunProgram({"diff", Example("breizh"), file});
+    const QString file = WriteModifiedExample(folder, "\"slots\": 9", "\"slots\": 12");
+    const ProgramResult text = RunProgram({"diff", ExamplePath("breizh"), file});
     CPPUNIT_ASSERT_EQUAL(0, text.status);
     CPPUNIT_ASSERT(Contains(text.output, "backend server portail-1: slots changes from 9 to 12"));
-    const ProgramResult json = RunProgram({"diff", "--json", Example("breizh"), file});
+    const ProgramResult json = RunProgram({"diff", "--json", ExamplePath("breizh"), file});
     const QJsonArray changes = QJsonDocument::fromJson(json.output)["changes"].toArray();
     CPPUNIT_ASSERT_EQUAL(qsizetype{1}, changes.size());
     CPPUNIT_ASSERT(changes[0].toObject()["field"] == "slots");
     CPPUNIT_ASSERT(changes[0].toObject()["after"] == "12");
-    const ProgramResult same = RunProgram({"diff", Example("breizh"), Example("breizh")});
+    const ProgramResult same = RunProgram({"diff", ExamplePath("breizh"), ExamplePath("breizh")});
     CPPUNIT_ASSERT_EQUAL(std::string("no change\n"), same.output.toStdString());
   }
 
@@ -167,9 +168,9 @@
     CPPUNIT_ASSERT_EQUAL(0, first.status);
     constexpr qsizetype kZ85KeyLength = 40;
     CPPUNIT_ASSERT_EQUAL(kZ85KeyLength, first.output.trimmed().size());
-    constexpr QFile::Permissions kOthers =
+    constexpr QFile::Permissions kGroupAndOthers =
         QFile::ReadGroup | QFile::WriteGroup | QFile::ReadOther | QFile::WriteOther;
-    CPPUNIT_ASSERT(!(QFile::permissions(path) & kOthers));
+    CPPUNIT_ASSERT(!(QFile::permissions(path) & kGroupAndOthers));
     QFile file(path);
     CPPUNIT_ASSERT(file.open(QIODevice::ReadOnly));
     const QByteArray secret = file.readAll();
@@ -181,21 +182,22 @@
   }
 
   // Guards against a node that is down but looks like one without work.
-  void StatusShowsNodesAndMissingOnes() {
+  void StatusReportsUnreachableNodes() {
     QHttpServer server;
     server.route("/status", [] {
       return QHttpServerResponse(QJsonObject{{"server", "portail-1"}, {"draining", true}});
     });
-    const QString up = "127.0.0.1:" + QString::number(server.listen(QHostAddress::LocalHost));
+    const QString reachable_node =
+        "127.0.0.1:" + QString::number(server.listen(QHostAddress::LocalHost));
     QTcpServer unused;
     CPPUNIT_ASSERT(unused.listen(QHostAddress::LocalHost));
-    const QString down = "127.0.0.1:" + QString::number(unused.serverPort());
+    const QString unreachable_node = "127.0.0.1:" + QString::number(unused.serverPort());
     unused.close();
 
-    const ProgramResult table = RunProgram({"status", up});
+    const ProgramResult table = RunProgram({"status", reachable_node});
     CPPUNIT_ASSERT_EQUAL(0, table.status);
     CPPUNIT_ASSERT(Contains(table.output, "portail-1"));
-    const ProgramResult json = RunProgram({"status", "--json", up, down});
+    const ProgramResult json = RunProgram({"status", "--json", reachable_node, unreachable_node});
     CPPUNIT_ASSERT_EQUAL(1, json.status);
     const QJsonArray list = QJsonDocument::fromJson(json.output).array();
     CPPUNIT_ASSERT_EQUAL(qsizetype{2}, list.size());
