--- a/src/tools/damaskhollow/checkcommand.cpp
+++ b/src/tools/damaskhollow/checkcommand.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-constexpr char kUsage[] = R"(Checks a declaration.
+constexpr char kUsage[] = R"(Validates a declaration.
 
 Usage:
   damaskhollow check FILE
   damaskhollow check (-h | --help)
 
-Prints every failure with file and field path to standard error. Status: 0 valid, 1 not valid, 2 wrong usage or unreadable
-file.
+Prints each error with its file and field path to standard error.
+
+Exit status: 0 valid, 1 invalid, 2 wrong usage or unreadable file.
 )";
 
 Result<int> Run(const Arguments& arguments) {
@@ -36,7 +37,7 @@
 }  // namespace
 
 const Command& CheckCommand() {
-  static constexpr Command kCommand{"check", "Check a declaration", kUsage, Run};
+  static constexpr Command kCommand{"check", "Validate a declaration", kUsage, Run};
   return kCommand;
 }
 
--- a/src/tools/damaskhollow/checkcommand.h
+++ b/src/tools/damaskhollow/checkcommand.h
@@ -5,7 +5,8 @@
 
 namespace damaskhollow {
 
-// Validates a declaration and prints every failure with file and field path.
+// `damaskhollow check`: validates a declaration and prints each error with its file and field
+// path.
 const Command& CheckCommand();
 
 }  // namespace damaskhollow
--- a/src/tools/damaskhollow/command.h
+++ b/src/tools/damaskhollow/command.h
@@ -13,8 +13,8 @@
 
 // Exit statuses of the program.
 constexpr int kSuccessStatus = 0;
-constexpr int kFailureStatus = 1;  // The input was understood, and the answer is no.
-constexpr int kUsageStatus = 2;    // Wrong arguments, or a file that cannot be read or created.
+constexpr int kFailureStatus = 1;  // The command ran; its result is negative.
+constexpr int kUsageStatus = 2;    // Invalid arguments, or a file cannot be read or created.
 
 using Arguments = std::map<std::string, docopt::value>;
 
@@ -22,7 +22,7 @@
 struct Command {
   std::string_view name;
   std::string_view summary;
-  const char* usage;                               // docopt text, printed by --help.
+  const char* usage;                               // In docopt syntax; printed by --help.
   Result<int> (*run)(const Arguments& arguments);  // Returns the exit status.
 };
 
--- a/src/tools/damaskhollow/declarationfile.h
+++ b/src/tools/damaskhollow/declarationfile.h
@@ -8,11 +8,11 @@
 
 namespace damaskhollow {
 
-// Reads and parses a declaration. Fails with kFileUnreadable; failures of its content are in the
-// result.
+// Reads and parses a declaration file. Fails with kFileUnreadable if the file cannot be opened;
+// syntax and validation errors are returned in the `failures` of the result.
 Result<ParsedDeclaration> ReadDeclarationFile(const std::string& path);
 
-// Prints the failures to standard error, one a line.
+// Prints the failures to standard error, one per line.
 void PrintFailures(const ParsedDeclaration& parsed);
 
 }  // namespace damaskhollow
--- a/src/tools/damaskhollow/diffcommand.cpp
+++ b/src/tools/damaskhollow/diffcommand.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr char kUsage[] = R"(Shows what a change of the declaration would do.
+constexpr char kUsage[] =
+    R"(Shows the differences between two declarations and their effect on a running fleet.
 
 Usage:
   damaskhollow diff [--json] OLD NEW
@@ -22,7 +23,8 @@
   --json     Print {"changes": [{"change", "subject", "field", "before", "after", "effect"}]}.
   -h --help  Show this text.
 
-Status: 0 both files are valid, also without a difference; 1 one is not valid; 2 wrong usage or unreadable file.
+Exit status: 0 both files are valid, whether or not they differ; 1 at least one is invalid;
+2 wrong usage or unreadable file.
 )";
 
 QJsonObject ToJson(const DeclarationChange& change) {
@@ -64,8 +66,7 @@
 }  // namespace
 
 const Command& DiffCommand() {
-  static constexpr Command kCommand{"diff", "Show what a change of the declaration would do",
-                                    kUsage, Run};
+  static constexpr Command kCommand{"diff", "Show how two declarations differ", kUsage, Run};
   return kCommand;
 }
 
--- a/src/tools/damaskhollow/diffcommand.h
+++ b/src/tools/damaskhollow/diffcommand.h
@@ -5,7 +5,8 @@
 
 namespace damaskhollow {
 
-// Prints what the change from one declaration to another would do.
+// `damaskhollow diff`: prints the differences between two declarations and the effect of each on a
+// running fleet.
 const Command& DiffCommand();
 
 }  // namespace damaskhollow
--- a/src/tools/damaskhollow/explaincommand.cpp
+++ b/src/tools/damaskhollow/explaincommand.cpp
@@ -18,7 +18,7 @@
   damaskhollow explain [--json] [REASON]
   damaskhollow explain (-h | --help)
 
-Without REASON it lists all reasons.
+Without REASON, all reasons are listed.
 
 Options:
   --json     Print a list of {"reason", "outcome", "http_status", "try_another_server", "explanation", "action"}.
@@ -58,7 +58,7 @@
     const std::optional<Reason> reason = ReasonFromName(name.asString());
     if (!reason) {
       return Failure{FailureCode::kUnknownReference, name.asString(),
-                     "is not a reason; `damaskhollow explain` lists them"};
+                     "unknown reason; `damaskhollow explain` lists all reasons"};
     }
     reasons = reasons.subspan(static_cast<std::size_t>(*reason), 1);
   }
@@ -69,7 +69,8 @@
 }  // namespace
 
 const Command& ExplainCommand() {
-  static constexpr Command kCommand{"explain", "Explain a reason", kUsage, Run};
+  static constexpr Command kCommand{"explain", "Explain why a call was refused, failed or retried",
+                                    kUsage, Run};
   return kCommand;
 }
 
--- a/src/tools/damaskhollow/explaincommand.h
+++ b/src/tools/damaskhollow/explaincommand.h
@@ -5,7 +5,8 @@
 
 namespace damaskhollow {
 
-// Prints rows of the reason table.
+// `damaskhollow explain`: prints the meaning of one or all reasons for which a call is refused,
+// fails or is retried, and what an operator can do about each.
 const Command& ExplainCommand();
 
 }  // namespace damaskhollow
--- a/src/tools/damaskhollow/keygencommand.cpp
+++ b/src/tools/damaskhollow/keygencommand.cpp
@@ -13,27 +13,31 @@
 
 namespace {
 
-constexpr char kUsage[] = R"(Creates the CURVE keys of one node.
+constexpr char kUsage[] = R"(Generates the CURVE key pair of one node.
 
 Usage:
   damaskhollow keygen [--secret-key-file=FILE]
   damaskhollow keygen (-h | --help)
 
 Options:
-  --secret-key-file=FILE  Write the secret key to this new file, readable by its owner only, and print the public key alone.
-                          Without it both keys are printed.
+  --secret-key-file=FILE  Write the secret key to this file, which must not exist yet and is
+                          readable by its owner only, and print only the public key.
+                          Without this option both keys are printed.
   -h --help               Show this text.
 
-The public key belongs in the declaration as peer_public_key, the file in the node's --secret-key-file.
+Set peer_public_key in the declaration to the public key. Pass the path of the secret key file to
+the node with --secret-key-file.
 )";
 
+// A kFileNotCreated failure for `path` with the system's text for the current errno.
 Failure ErrnoFailure(const std::string& path) {
   return Failure{FailureCode::kFileNotCreated, path, std::generic_category().message(errno)};
 }
 
+// Writes the key to a new file with mode 0600; removes the file if the write is incomplete.
 Result<void> WriteSecretKey(const std::string& path, const std::string& secret_key) {
   constexpr mode_t kOwnerOnly = 0600;
-  // O_EXCL: a key in use must not be overwritten, and no link be followed.
+  // O_EXCL prevents overwriting a key that is in use and following a symbolic link.
   const int file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, kOwnerOnly);
   if (file < 0) return ErrnoFailure(path);
   const std::string line = secret_key + "\n";
@@ -64,7 +68,7 @@
 }  // namespace
 
 const Command& KeygenCommand() {
-  static constexpr Command kCommand{"keygen", "Create the CURVE keys of a node", kUsage, Run};
+  static constexpr Command kCommand{"keygen", "Generate the CURVE key pair of a node", kUsage, Run};
   return kCommand;
 }
 
--- a/src/tools/damaskhollow/keygencommand.h
+++ b/src/tools/damaskhollow/keygencommand.h
@@ -5,7 +5,7 @@
 
 namespace damaskhollow {
 
-// Creates a pair of CURVE keys for one node.
+// `damaskhollow keygen`: generates a CURVE key pair for one node.
 const Command& KeygenCommand();
 
 }  // namespace damaskhollow
--- a/src/tools/damaskhollow/main.cpp
+++ b/src/tools/damaskhollow/main.cpp
@@ -28,7 +28,7 @@
     damaskhollow::ExplainCommand, damaskhollow::TraceCommand, damaskhollow::KeygenCommand};
 
 void PrintUsage(std::ostream& out) {
-  out << "damaskhollow: operator command of the damaskhollow load balancer.\n\n"
+  out << "damaskhollow: command-line tool for operators of the damaskhollow load balancer.\n\n"
          "Usage:\n  damaskhollow COMMAND [ARGUMENTS]\n  damaskhollow COMMAND --help\n"
          "  damaskhollow --version\n\nCommands:\n";
   constexpr std::size_t kNameWidth = 10;
@@ -39,6 +39,7 @@
   }
 }
 
+// Parses the arguments against the usage text of the command, runs it and returns the exit status.
 Result<int> RunCommand(const Command& command, const std::vector<std::string>& arguments) {
   try {
     return command.run(docopt::docopt_parse(command.usage, arguments));
@@ -52,6 +53,7 @@
   }
 }
 
+// Handles the program-wide options and runs the command named by the first argument.
 Result<int> Dispatch(const std::vector<std::string>& arguments) {
   if (arguments.empty()) {
     PrintUsage(std::cerr);
@@ -69,7 +71,7 @@
     if (get_command().name == arguments.front()) return RunCommand(get_command(), arguments);
   }
   return Failure{FailureCode::kInvalidSetting, arguments.front(),
-                 "is not a command; see `damaskhollow --help`"};
+                 "unknown command; see `damaskhollow --help`"};
 }
 
 }  // namespace
--- a/src/tools/damaskhollow/statuscommand.cpp
+++ b/src/tools/damaskhollow/statuscommand.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr char kUsage[] = R"(Asks nodes for their state.
+constexpr char kUsage[] = R"(Queries the status of nodes.
 
 Usage:
   damaskhollow status [--json] [--timeout-ms=N] NODE...
@@ -30,21 +30,22 @@
 
 Options:
   --json          Print a list of {"node", "status"} or {"node", "failure"}.
-  --timeout-ms=N  Longest wait for a node [default: 2000].
+  --timeout-ms=N  Abort a query if no data arrives for N milliseconds [default: 2000].
   -h --help       Show this text.
 
-Status: 0 all nodes answered, 1 one did not, 2 wrong usage.
+Exit status: 0 all nodes answered, 1 at least one did not, 2 wrong usage.
 )";
 
 constexpr int kMaxTimeoutMs = 600000;
 
-// The answer of one node or why there is none.
+// The body of a /status response of one node, or the failure if there is no valid response.
 struct NodeResponse {
   std::string node;
   QJsonObject status;
   std::optional<Failure> failure;
 };
 
+// Converts a finished reply. A network error and a body that is not a JSON object are failures.
 NodeResponse ReadResponse(const std::string& node, QNetworkReply& reply) {
   NodeResponse response{node, {}, std::nullopt};
   if (reply.error() != QNetworkReply::NoError) {
@@ -53,16 +54,18 @@
   }
   const QJsonDocument document = QJsonDocument::fromJson(reply.readAll());
   if (!document.isObject()) {
-    response.failure = Failure{FailureCode::kSyntax, node, "the answer is not a JSON object"};
+    response.failure = Failure{FailureCode::kSyntax, node, "the response is not a JSON object"};
     return response;
   }
   response.status = document.object();
   return response;
 }
 
+// Requests /status from all nodes in parallel and waits until each has responded or timed out. The
+// responses are in the order of `nodes`.
 std::vector<NodeResponse> QueryNodes(const std::vector<std::string>& nodes, int timeout_ms) {
   QNetworkAccessManager network;
-  // Nodes are reached by IP number inside the fleet's network, never through a proxy.
+  // Nodes are reached by IP address inside the fleet's network, never through a proxy.
   network.setProxy(QNetworkProxy::NoProxy);
   std::vector<std::unique_ptr<QNetworkReply>> replies;
   QEventLoop loop;
@@ -83,7 +86,7 @@
   return responses;
 }
 
-// One column of the table: its heading and the field of /status.
+// A table column: its heading and the field of the /status response that it shows.
 struct Column {
   std::string_view heading;
   const char* field;
@@ -97,12 +100,14 @@
     Column{"links", "linked_peers"},
 };
 
+// The table cell for a value: arrays are shown by their size, missing fields as "-".
 std::string CellText(const QJsonValue& value) {
   if (value.isArray()) return std::to_string(value.toArray().size());
   if (value.isBool()) return value.toBool() ? "yes" : "no";
   return value.isUndefined() ? "-" : value.toVariant().toString().toStdString();
 }
 
+// Prints one row per node that responded.
 void PrintTable(const std::vector<NodeResponse>& responses) {
   std::vector<std::vector<std::string>> rows{{"node"}};
   for (const Column& column : kColumns) rows.front().emplace_back(column.heading);
@@ -172,7 +177,7 @@
 }  // namespace
 
 const Command& StatusCommand() {
-  static constexpr Command kCommand{"status", "Ask nodes for their state", kUsage, Run};
+  static constexpr Command kCommand{"status", "Query the status of nodes", kUsage, Run};
   return kCommand;
 }
 
--- a/src/tools/damaskhollow/statuscommand.h
+++ b/src/tools/damaskhollow/statuscommand.h
@@ -5,7 +5,7 @@
 
 namespace damaskhollow {
 
-// Asks nodes for their state over their admin addresses.
+// `damaskhollow status`: queries the status of nodes through their admin addresses.
 const Command& StatusCommand();
 
 }  // namespace damaskhollow
--- a/src/tools/damaskhollow/tracecommand.cpp
+++ b/src/tools/damaskhollow/tracecommand.cpp
@@ -11,26 +11,29 @@
 namespace {
 
 constexpr char kUsage[] =
-    R"(Puts the log lines of one request, from the logs of several nodes, in the order of their times.
+    R"(Prints the log lines of one request from the logs of several nodes, sorted by time.
 
 Usage:
   damaskhollow trace ID FILE...
   damaskhollow trace (-h | --help)
 
-Each line is printed behind the name of its file. Status: 0 found, 1 no line names the request, 2 wrong usage or unreadable
-file.
+Each line is prefixed with the name of its file.
+
+Exit status: 0 found, 1 no line has this request ID, 2 wrong usage or unreadable file.
 
 Options:
   -h --help  Show this text.
 )";
 
+// A log line with the value of its `time` field, by which lines are sorted as text, and the name of
+// its file.
 struct LogLine {
   std::string time;
   std::string file;
   std::string text;
 };
 
-// The value of `name=` in a log line; empty if it has none.
+// The value of the field `name` in a log line, up to the next space; empty if there is none.
 std::string FieldOf(const std::string& line, const std::string& name) {
   const std::string key = name + "=";
   std::size_t start = line.starts_with(key) ? 0 : line.find(" " + key);
@@ -44,7 +47,8 @@
   std::vector<LogLine> lines;
   for (const std::string& name : arguments.at("FILE").asStringList()) {
     std::ifstream file(name);
-    if (!file) return Failure{FailureCode::kFileUnreadable, name, "cannot be read"};
+    if (!file)
+      return Failure{FailureCode::kFileUnreadable, name, "cannot open the file for reading"};
     for (std::string text; std::getline(file, text);) {
       if (FieldOf(text, "request") == id) lines.push_back({FieldOf(text, "time"), name, text});
     }
@@ -59,7 +63,8 @@
 }  // namespace
 
 const Command& TraceCommand() {
-  static constexpr Command kCommand{"trace", "Order the log lines of a request", kUsage, Run};
+  static constexpr Command kCommand{"trace", "Print the log lines of a request by time", kUsage,
+                                    Run};
   return kCommand;
 }
 
--- a/src/tools/damaskhollow/tracecommand.h
+++ b/src/tools/damaskhollow/tracecommand.h
@@ -5,7 +5,8 @@
 
 namespace damaskhollow {
 
-// `damaskhollow trace`: puts the log lines of one request, from several nodes, in order.
+// `damaskhollow trace`: prints the log lines of one request from the logs of several nodes, sorted
+// by time.
 const Command& TraceCommand();
 
 }  // namespace damaskhollow
--- a/tests/auto/tools/tst_loglines.cpp
+++ b/tests/auto/tools/tst_loglines.cpp
@@ -37,7 +37,7 @@
   return fields;
 }
 
-// The names of a line's fields; quoted values may have spaces.
+// The names of the fields of a log line. Quoted values may contain spaces.
 std::vector<std::string> FieldNames(const std::string& line) {
   std::vector<std::string> fields;
   std::size_t position = 0;
@@ -62,7 +62,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Starts a node, sends calls that fail in three ways, stops it and reads each line that it wrote.
+  // Guards against log fields that are missing in the documentation. Starts a node, sends calls
+  // that fail in three ways, stops the node and checks each line that it logged.
   void EachFieldIsDocumented() {
     Start();
     SendRequest(
@@ -91,13 +92,13 @@
     }
   }
 
-  // Guards against a call that waits for its log line to be read.
+  // Guards against calls that block on logging when nothing reads the standard output of the node.
   void StalledLogReaderDoesNotBlockCalls() {
     QProcess reader;
     m_process.setStandardOutputProcess(&reader);
     reader.start("sleep", {"60"});
     Start();
-    constexpr int kCalls = 4000;  // Lines for several times what a pipe and the queue hold.
+    constexpr int kCalls = 4000;  // Logs several times what the pipe and the log queue hold.
     for (int batch = 0; batch < kCalls / 100; ++batch) {
       std::string requests;
       for (int index = 0; index < 100; ++index) {
@@ -160,7 +161,7 @@
     CPPUNIT_ASSERT_EQUAL(1, SendRequests(request, 1));
   }
 
-  // The answers that came to the requests, of which there are `count`.
+  // Sends `count` requests on one connection and returns the number of responses received.
   int SendRequests(const std::string& requests, int count) {
     QTcpSocket socket;
     socket.connectToHost("127.0.0.1", m_listen_endpoint.port);
--- a/tests/auto/tools/tst_operatorcommand.cpp
+++ b/tests/auto/tools/tst_operatorcommand.cpp
@@ -27,7 +27,8 @@
   QByteArray errors;
 };
 
-// Runs the operator command while this thread's event loop goes on.
+// Runs `damaskhollow` to its end. The event loop of this thread keeps running, so that a server in
+// the test can respond.
 ProgramResult RunProgram(const QStringList& arguments) {
   QProcess process;
   QEventLoop loop;
@@ -43,7 +44,8 @@
   return QString(DAMASKHOLLOW_EXAMPLES_DIR) + "/" + name + ".json";
 }
 
-// Writes the example with one text replaced and returns the new file's name.
+// Writes a copy of the breizh example with the first occurrence of `from` replaced by `to`. Returns
+// the path of the copy.
 QString WriteModifiedExample(const QTemporaryDir& folder, const QByteArray& from,
                              const QByteArray& to) {
   QFile original(ExamplePath("breizh"));
@@ -60,7 +62,7 @@
 
 bool Contains(const QByteArray& text, const char* part) { return text.contains(part); }
 
-// Arguments that must be refused, the exit status and a part of the message.
+// Arguments that must be rejected, with the exit status and a part of the error message.
 struct RefusedCase {
   const char* arguments;
   int status;
@@ -97,7 +99,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against scripts that take a mistyped command for a success.
+  // Guards against an exit status of 0 for a mistyped command, which a script takes for success.
   void RefusesBadInput() {
     for (const RefusedCase& row : kRefusedCases) {
       const ProgramResult result =
@@ -117,7 +119,7 @@
     }
   }
 
-  // Guards against examples that fall behind the format.
+  // Guards against examples that no longer match the declaration format.
   void CheckAcceptsExamples() {
     for (const char* name : {"breizh", "slamkorsel"}) {
       const ProgramResult result = RunProgram({"check", ExamplePath(name)});
@@ -150,7 +152,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("no change\n"), same.output.toStdString());
   }
 
-  // Guards against a reason in a header that the operator command does not know.
+  // Guards against a reason that nodes send in a header but `damaskhollow explain` does not list.
   void ExplainCoversEachReason() {
     const QJsonArray list =
         QJsonDocument::fromJson(RunProgram({"explain", "--json"}).output).array();
@@ -160,7 +162,8 @@
     CPPUNIT_ASSERT(one.output.startsWith("queue_full_time (not-run, HTTP 503"));
   }
 
-  // Guards against losing the key of a running node, and against keys that others can read.
+  // Guards against overwriting the key of a running node, and against a secret key file that other
+  // users can read.
   void KeygenNeverOverwrites() {
     const QTemporaryDir folder;
     const QString path = folder.filePath("secret");
@@ -181,7 +184,7 @@
     CPPUNIT_ASSERT(file.readAll() == secret);
   }
 
-  // Guards against a node that is down but looks like one without work.
+  // Guards against an unreachable node that is shown like an idle one.
   void StatusReportsUnreachableNodes() {
     QHttpServer server;
     server.route("/status", [] {
