--- a/src/tools/damaskhollow/diffcommand.cpp
+++ b/src/tools/damaskhollow/diffcommand.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr char kUsage[] = R"(Shows what a change of the declaration would do.
+constexpr char kUsage[] =
+    R"(Shows the differences between two declarations and their effect on a running fleet.
 
 Usage:
   damaskhollow diff [--json] OLD NEW
@@ -22,19 +23,20 @@
   --json     Print {"changes": [{"change", "subject", "field", "before", "after", "effect"}]}.
   -h --help  Show this text.
 
-Status: 0 both files are valid, also without a difference; 1 one is not valid; 2 wrong usage or unreadable file.
+Exit status: 0 both files are valid, whether or not they differ; 1 at least one is invalid;
+2 wrong usage or unreadable file.
 )";
 
 QJsonObject ToJson(const DeclarationChange& change) {
-  const auto text = [](std::string_view value) {
+  const auto to_qstring = [](std::string_view value) {
     return QString::fromUtf8(value.data(), static_cast<qsizetype>(value.size()));
   };
-  return QJsonObject{{"change", text(ChangeKindName(change.kind))},
-                     {"subject", text(change.subject)},
-                     {"field", text(change.field)},
-                     {"before", text(change.before)},
-                     {"after", text(change.after)},
-                     {"effect", text(change.effect)}};
+  return QJsonObject{{"change", to_qstring(ChangeKindName(change.kind))},
+                     {"subject", to_qstring(change.subject)},
+                     {"field", to_qstring(change.field)},
+                     {"before", to_qstring(change.before)},
+                     {"after", to_qstring(change.after)},
+                     {"effect", to_qstring(change.effect)}};
 }
 
 void PrintJson(const DeclarationDiff& diff) {
@@ -55,7 +57,7 @@
   if (!after) return after.error();
   PrintFailures(before.value());
   PrintFailures(after.value());
-  if (!before.value().failures.empty() || !after.value().failures.empty()) return kNegativeStatus;
+  if (!before.value().failures.empty() || !after.value().failures.empty()) return kFailureStatus;
   const DeclarationDiff diff(before.value().declaration, after.value().declaration);
   arguments.at("--json").asBool() ? PrintJson(diff) : PrintText(diff);
   return kSuccessStatus;
@@ -64,8 +66,7 @@
 }  // namespace
 
 const Command& DiffCommand() {
-  static constexpr Command kCommand{"diff", "Show what a change of the declaration would do",
-                                    kUsage, Run};
+  static constexpr Command kCommand{"diff", "Show how two declarations differ", kUsage, Run};
   return kCommand;
 }
 
--- a/src/tools/damaskhollow/main.cpp
+++ b/src/tools/damaskhollow/main.cpp
@@ -21,24 +21,25 @@
 
 constexpr std::string_view kVersion = "damaskhollow 0.1.0";
 
-using CommandSource = const Command& (*)();
+using CommandGetter = const Command& (*)();
 
-constexpr std::array<CommandSource, 6> kCommands{
+constexpr std::array<CommandGetter, 6> kCommands{
     damaskhollow::CheckCommand,   damaskhollow::DiffCommand,  damaskhollow::StatusCommand,
     damaskhollow::ExplainCommand, damaskhollow::TraceCommand, damaskhollow::KeygenCommand};
 
 void PrintUsage(std::ostream& out) {
-  out << "damaskhollow: operator command of the damaskhollow load balancer.\n\n"
+  out << "damaskhollow: command-line tool for operators of the damaskhollow load balancer.\n\n"
          "Usage:\n  damaskhollow COMMAND [ARGUMENTS]\n  damaskhollow COMMAND --help\n"
          "  damaskhollow --version\n\nCommands:\n";
   constexpr std::size_t kNameWidth = 10;
-  for (const CommandSource source : kCommands) {
-    const Command& command = source();
+  for (const CommandGetter get_command : kCommands) {
+    const Command& command = get_command();
     out << "  " << command.name << std::string(kNameWidth - command.name.size(), ' ')
         << command.summary << '\n';
   }
 }
 
+// Parses the arguments against the usage text of the command, runs it and returns the exit status.
 Result<int> RunCommand(const Command& command, const std::vector<std::string>& arguments) {
   try {
     return command.run(docopt::docopt_parse(command.usage, arguments));
@@ -52,6 +53,7 @@
   }
 }
 
+// Handles the program-wide options and runs the command named by the first argument.
 Result<int> Dispatch(const std::vector<std::string>& arguments) {
   if (arguments.empty()) {
     PrintUsage(std::cerr);
@@ -65,11 +67,11 @@
     std::cout << kVersion << '\n';
     return damaskhollow::kSuccessStatus;
   }
-  for (const CommandSource source : kCommands) {
-    if (source().name == arguments.front()) return RunCommand(source(), arguments);
+  for (const CommandGetter get_command : kCommands) {
+    if (get_command().name == arguments.front()) return RunCommand(get_command(), arguments);
   }
   return Failure{FailureCode::kInvalidSetting, arguments.front(),
-                 "is not a command; see `damaskhollow --help`"};
+                 "unknown command; see `damaskhollow --help`"};
 }
 
 }  // namespace
