--- a/src/libs/declaration/declarationdiff.cpp
+++ b/src/libs/declaration/declarationdiff.cpp
@@ -42,7 +42,7 @@
 }
 
 std::string TextOf(const HealthCheck& health) {
-  return health.path + " every " + TextOf(health.interval) + " ms, draining at status " +
+  return health.path + " each " + TextOf(health.interval) + " ms, draining at " +
          TextOf(health.drain_status);
 }
 
--- a/src/libs/fleet/fleetview.cpp
+++ b/src/libs/fleet/fleetview.cpp
@@ -31,9 +31,9 @@
 
 std::string_view MemberStateReason(MemberState state) {
   static constexpr std::array<std::string_view, 5> kReasons{
-      "It is available.", "Its owner reports that it is draining.",
-      "The VM list marks it as leaving, or lacks it while its link is up.",
-      "It has been absent from the VM list for 10 s without a live link, or is not declared.",
+      "Nothing speaks against it.", "Its owner states that it takes no new work.",
+      "The VM list says that it leaves, or it has left the list while its link lives.",
+      "It has been absent from the VM list for 10 s and has no live link, or is not declared.",
       "The link to its node is down."};
   return kReasons[static_cast<std::size_t>(state)];
 }
--- a/src/libs/metrics/metricsregistry.cpp
+++ b/src/libs/metrics/metricsregistry.cpp
@@ -21,10 +21,10 @@
      "Calls answered by a backend server."},
     {Metric::kCallsDispatched, "calls_dispatched_total", "counter",
      "Calls sent to this node's backend server."},
-    {Metric::kRetries, "retries_total", "counter", "Calls retried."},
+    {Metric::kRetries, "retries_total", "counter", "Calls tried again."},
     {Metric::kHedges, "hedges_total", "counter", "Idempotent calls sent to a second server."},
     {Metric::kUnreadConnectionsClosed, "unread_connections_closed_total", "counter",
-     "Connections closed without a complete request head to admit new ones."},
+     "Connections without a whole request head that gave way to new ones."},
     {Metric::kControlBytesSent, "control_bytes_sent_total", "counter",
      "Control bytes sent to peers."},
     {Metric::kControlBytesReceived, "control_bytes_received_total", "counter",
@@ -40,17 +40,17 @@
     {Metric::kConfigurationRefused, "configuration_refused_total", "counter",
      "Declarations refused as invalid or older."},
     {Metric::kBackendCrashes, "backend_crashes_total", "counter",
-     "Crashes of the backend server detected."},
+     "Crashes of the backend server seen."},
     {Metric::kLinksUp, "links_up", "gauge", "Links to peers that are up."},
     {Metric::kLinksReplaced, "links_replaced_total", "counter", "Silent links replaced."},
-    {Metric::kProcessPauses, "pauses_total", "counter", "Pauses of the process detected."},
+    {Metric::kProcessPauses, "pauses_total", "counter", "Pauses of the process noticed."},
     {Metric::kQueuedCalls, "queued_calls", "gauge", "Calls queued at the owner."},
     {Metric::kInFlightCalls, "in_flight_calls", "gauge", "Calls running on the backend server."},
-    {Metric::kCallerConnections, "caller_connections", "gauge", "Open connections from callers."},
+    {Metric::kCallerConnections, "caller_connections", "gauge", "Connections of callers."},
     {Metric::kLogLinesDropped, "log_lines_dropped_total", "counter",
-     "Log lines dropped because the log queue was full."},
+     "Log lines dropped as nobody read them."},
     {Metric::kFailureLinesDropped, "failure_lines_dropped_total", "counter",
-     "Failure log lines dropped by the rate limit."},
+     "Log lines on failures left out to bound their rate."},
     {Metric::kServers, "servers", "gauge", "Backend servers in the inventory in force."},
     {Metric::kSlownessPercent, "slowness_percent", "gauge",
      "Time that work takes on this VM now; 100 is as usual."},
@@ -138,9 +138,9 @@
   }
   out << damaskhollow::PrometheusText(ReadProcessUsage());
   WriteReasonCounters(out, "refusals_total", "Calls refused or failed, by reason.", m_refusals);
-  WriteReasonCounters(out, "retries_by_reason_total", "Calls retried, by reason.", m_retries);
+  WriteReasonCounters(out, "retries_by_reason_total", "Calls tried again, by reason.", m_retries);
 
-  out << "# HELP damaskhollow_latency_ms Time from request to end of response, by priority.\n"
+  out << "# HELP damaskhollow_latency_ms Time from request to end of answer, by priority.\n"
          "# TYPE damaskhollow_latency_ms histogram\n";
   const std::lock_guard lock(m_latency_lock);
   for (const auto& [priority, latency] : m_latencies) {
--- a/src/libs/metrics/processusage.cpp
+++ b/src/libs/metrics/processusage.cpp
@@ -36,11 +36,11 @@
 
 std::string PrometheusText(const ProcessUsage& usage) {
   std::ostringstream out;
-  out << "# HELP damaskhollow_process_cpu_seconds_total User and system CPU time of the process.\n"
+  out << "# HELP damaskhollow_process_cpu_seconds_total User and system time of the process.\n"
          "# TYPE damaskhollow_process_cpu_seconds_total counter\n"
          "damaskhollow_process_cpu_seconds_total "
       << usage.cpu_seconds
-      << "\n# HELP damaskhollow_process_resident_memory_bytes Resident memory of the process.\n"
+      << "\n# HELP damaskhollow_process_resident_memory_bytes Memory resident now.\n"
          "# TYPE damaskhollow_process_resident_memory_bytes gauge\n"
          "damaskhollow_process_resident_memory_bytes "
       << usage.resident_memory_bytes << '\n';
