--- a/tests/benchmarks/controlmeasurement.cpp
+++ b/tests/benchmarks/controlmeasurement.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double kLoadPerNode = 100.0;
+constexpr double kCallsPerSecondPerNode = 100.0;
 constexpr double kMegabyte = 1024.0 * 1024.0;
 
 // What all nodes used so far.
@@ -15,12 +15,12 @@
   double paid_link_control_bytes = 0.0;
   double paid_link_bytes = 0.0;  // All traffic between regions, as the proxy saw it.
   double cpu_seconds = 0.0;
-  std::chrono::steady_clock::time_point when;
+  std::chrono::steady_clock::time_point read_at;
 };
 
 Usage ReadUsage(Fleet& fleet) {
   Usage usage;
-  usage.when = std::chrono::steady_clock::now();
+  usage.read_at = std::chrono::steady_clock::now();
   usage.control_bytes = MetricSum(fleet, "damaskhollow_control_bytes_sent_total") +
                         MetricSum(fleet, "damaskhollow_control_bytes_received_total");
   usage.paid_link_control_bytes = MetricSum(fleet, "damaskhollow_control_paid_link_bytes_total");
@@ -29,7 +29,7 @@
   return usage;
 }
 
-double LargestMemory(Fleet& fleet) {
+double LargestNodeMegabytes(Fleet& fleet) {
   double largest = 0.0;
   for (std::size_t index = 0; index < fleet.Size(); ++index) {
     largest = std::max(largest, fleet.Metric(index, "damaskhollow_process_resident_memory_bytes"));
@@ -40,14 +40,14 @@
 void AddRow(Fleet& fleet, const std::string& deployment, const std::string& phase,
             const Usage& before, TextTable& table) {
   const Usage after = ReadUsage(fleet);
-  const double seconds = std::chrono::duration<double>(after.when - before.when).count();
+  const double seconds = std::chrono::duration<double>(after.read_at - before.read_at).count();
   const double nodes = static_cast<double>(fleet.Size());
   const auto rate = [&](double Usage::*field) { return (after.*field - before.*field) / seconds; };
   table.AddRow({deployment, phase, FormatNumber(rate(&Usage::control_bytes) / nodes, 0),
                 FormatNumber(rate(&Usage::paid_link_control_bytes) / nodes, 0),
                 FormatNumber(rate(&Usage::paid_link_bytes), 0),
                 FormatNumber(100.0 * rate(&Usage::cpu_seconds) / nodes),
-                FormatNumber(LargestMemory(fleet), 1)});
+                FormatNumber(LargestNodeMegabytes(fleet), 1)});
 }
 
 bool MeasureDeployment(const MeasurementContext& context, const Deployment& deployment,
@@ -57,14 +57,15 @@
   options.proxy_peers = true;
   const std::unique_ptr<Fleet> fleet = StartFleet(std::move(options), "adaptive");
   if (!fleet) return false;
-  RunFor(context.Phase());  // Start-up traffic is over.
+  RunFor(context.PhaseDuration());  // Start-up traffic is over.
   Usage before = ReadUsage(*fleet);
-  RunFor(context.Phase() * 2);
+  RunFor(context.PhaseDuration() * 2);
   AddRow(*fleet, deployment.name, "idle", before, table);
   before = ReadUsage(*fleet);
-  RunLoad({MakeStream("normal", "GET", "/page", kLoadPerNode * static_cast<double>(fleet->Size()),
-                      CallersOf(*fleet))},
-          context.Phase() * 2, context.seed);
+  RunLoad({MakeStream("normal", "GET", "/page",
+                      kCallsPerSecondPerNode * static_cast<double>(fleet->Size()),
+                      CallerEndpoints(*fleet))},
+          context.PhaseDuration() * 2, context.seed);
   AddRow(*fleet, deployment.name, "100 calls/s a node", before, table);
   return true;
 }
@@ -75,7 +76,7 @@
   TextTable table("control cost (targets: 10,000 bytes/s, 1.7 % of a core idle, 32 MB a node)",
                   {"deployment", "phase", "control bytes/s a node", "of it paid link",
                    "all bytes/s on the paid link", "% of a core a node", "largest node MB"});
-  for (const Deployment* deployment : {&Breizh(), &Slamkorsel()}) {
+  for (const Deployment* deployment : {&BreizhDeployment(), &SlamkorselDeployment()}) {
     if (!MeasureDeployment(context, *deployment, table)) return false;
   }
   context.report.Add("control", table);
--- a/tests/benchmarks/floodmeasurement.cpp
+++ b/tests/benchmarks/floodmeasurement.cpp
@@ -15,24 +15,24 @@
   {"id": "normal", "rank": 1, "target_ms": 2000, "guaranteed_share": 0.35, "may_cross_regions": true},
   {"id": "bulk", "rank": 2, "target_ms": 2000, "guaranteed_share": 0.1, "may_cross_regions": false}])";
 constexpr double kFloodFactor = 10.0;
-constexpr std::chrono::milliseconds kSample{500};
+constexpr std::chrono::milliseconds kSampleInterval{500};
 
 // Calls of one priority; the load is a part of the fleet's capacity.
-struct FloodClass {
+struct PriorityClass {
   std::string_view name;
   std::string_view target;
   double guaranteed_share;
-  double usual_load;
+  double baseline_load;
 };
 
 // Those that do not flood offer more than their guarantee, or there would be nothing to keep.
 constexpr std::array kClasses{
-    FloodClass{"urgent", "/read", 0.40, 0.15},
-    FloodClass{"normal", "/page", 0.35, 0.40},
-    FloodClass{"bulk", "/bulk", 0.10, 0.15},
+    PriorityClass{"urgent", "/read", 0.40, 0.15},
+    PriorityClass{"normal", "/page", 0.35, 0.40},
+    PriorityClass{"bulk", "/bulk", 0.10, 0.15},
 };
-constexpr std::size_t kUrgent = 0;
-constexpr std::size_t kBulk = 2;
+constexpr std::size_t kUrgentIndex = 0;
+constexpr std::size_t kBulkIndex = 2;
 
 // One flood of one deployment by one subject.
 struct Flood {
@@ -49,16 +49,17 @@
   }
 };
 
-std::vector<LoadStream> Streams(const Flood& flood, const Fleet& fleet, double urgent_only) {
+std::vector<LoadStream> MakeStreams(const Flood& flood, const Fleet& fleet,
+                                    double urgent_only_load) {
   const std::vector<Endpoint> targets =
-      flood.subject.IsDirect() ? BackendsOf(fleet) : CallersOf(fleet);
+      flood.subject.IsDirect() ? BackendEndpoints(fleet) : CallerEndpoints(fleet);
   std::vector<LoadStream> streams;
   streams.reserve(kClasses.size());
   for (std::size_t index = 0; index < kClasses.size(); ++index) {
-    double part = index == flood.flooding ? kFloodFactor : kClasses[index].usual_load;
-    if (urgent_only > 0.0) part = index == kUrgent ? urgent_only : 0.0;
+    double load_factor = index == flood.flooding ? kFloodFactor : kClasses[index].baseline_load;
+    if (urgent_only_load > 0.0) load_factor = index == kUrgentIndex ? urgent_only_load : 0.0;
     streams.push_back(MakeStream(kClasses[index].name, "GET", kClasses[index].target,
-                                 part * flood.Capacity(), targets));
+                                 load_factor * flood.Capacity(), targets));
     streams.back().is_direct = flood.subject.IsDirect();
   }
   return streams;
@@ -67,13 +68,13 @@
 // What a flood did, per class.
 struct FloodResult {
   std::vector<LoadCounts> counts;
-  std::vector<double> kept_share;  // Completed slot time as part of capacity.
+  std::vector<double> completed_share;  // Completed slot time as part of capacity.
   std::vector<PlotSeries> over_time;
   double goodput = 0.0;  // All completed slot time as part of capacity.
 };
 
-std::vector<double> BusyByIndex(Fleet& fleet) {
-  const std::map<std::string, double> busy_ms = BusyByClass(fleet);
+std::vector<double> BusyTimeByIndex(Fleet& fleet) {
+  const std::map<std::string, double> busy_ms = BusyTimeByClass(fleet);
   std::vector<double> busy(kClasses.size());
   for (std::size_t index = 0; index < kClasses.size(); ++index) {
     const auto found = busy_ms.find(std::string(kClasses[index].name));
@@ -89,19 +90,19 @@
 
 FloodResult RunFlood(const MeasurementContext& context, const Flood& flood, Fleet& fleet) {
   FloodResult result;
-  for (const FloodClass& row : kClasses) result.over_time.push_back({std::string(row.name), {}});
+  for (const PriorityClass& row : kClasses) result.over_time.push_back({std::string(row.name), {}});
   const double slots = static_cast<double>(flood.deployment.servers) * kStandardSlots;
-  LoadGenerator load(Streams(flood, fleet, 0.0), context.seed, 8000);
-  load.Start(context.Phase() * 2);
+  LoadGenerator load(MakeStreams(flood, fleet, 0.0), context.seed, 8000);
+  load.Start(context.PhaseDuration() * 2);
   // The share is measured in the second half, when queues and shares have settled.
-  RunFor(context.Phase());
+  RunFor(context.PhaseDuration());
   const auto start = std::chrono::steady_clock::now();
-  const std::vector<double> before = BusyByIndex(fleet);
+  const std::vector<double> before = BusyTimeByIndex(fleet);
   std::vector<double> last = before;
   double last_ms = 0.0;
-  while (ElapsedMs(start) < static_cast<double>(context.Phase().count())) {
-    RunFor(kSample);
-    const std::vector<double> busy = BusyByIndex(fleet);
+  while (ElapsedMs(start) < static_cast<double>(context.PhaseDuration().count())) {
+    RunFor(kSampleInterval);
+    const std::vector<double> busy = BusyTimeByIndex(fleet);
     const double now_ms = ElapsedMs(start);
     for (std::size_t index = 0; index < kClasses.size(); ++index) {
       const double share = (busy[index] - last[index]) / (slots * (now_ms - last_ms));
@@ -111,8 +112,8 @@
     last_ms = now_ms;
   }
   for (std::size_t index = 0; index < kClasses.size(); ++index) {
-    result.kept_share.push_back((last[index] - before[index]) / (slots * last_ms));
-    result.goodput += result.kept_share.back();
+    result.completed_share.push_back((last[index] - before[index]) / (slots * last_ms));
+    result.goodput += result.completed_share.back();
   }
   load.Stop();
   WaitUntil([&] { return load.IsDone(); });
@@ -126,21 +127,22 @@
   for (std::size_t index = 0; index < kClasses.size(); ++index) {
     const LoadCounts& counts = result.counts[index];
     const double p99 = counts.Quantile(0.99);
-    const bool is_urgent = index == kUrgent && flood.flooding != kUrgent && unloaded_p99 > 0.0;
-    const std::size_t ended =
+    const bool has_p99_ratio =
+        index == kUrgentIndex && flood.flooding != kUrgentIndex && unloaded_p99 > 0.0;
+    const std::size_t with_outcome =
         counts.Count("answered") + counts.Count("not-run") + counts.Count("unknown");
     table.AddRow({flood.Name(), std::string(kClasses[index].name), std::to_string(counts.sent),
                   std::to_string(counts.skipped), std::to_string(counts.Count("answered")),
                   std::to_string(counts.Count("not-run")), std::to_string(counts.Count("unknown")),
-                  std::to_string(counts.sent - ended), FormatNumber(counts.Quantile(0.5), 1),
-                  FormatNumber(p99, 1), is_urgent ? FormatNumber(p99 / unloaded_p99) : "-",
+                  std::to_string(counts.sent - with_outcome), FormatNumber(counts.Quantile(0.5), 1),
+                  FormatNumber(p99, 1), has_p99_ratio ? FormatNumber(p99 / unloaded_p99) : "-",
                   FormatNumber(100.0 * kClasses[index].guaranteed_share, 0),
-                  FormatNumber(100.0 * result.kept_share[index], 1),
-                  FormatNumber(100.0 * result.goodput, 1), ReasonsText(counts)});
+                  FormatNumber(100.0 * result.completed_share[index], 1),
+                  FormatNumber(100.0 * result.goodput, 1), FormatReasons(counts)});
   }
 }
 
-bool MeasureOne(const MeasurementContext& context, const Flood& flood, TextTable& table) {
+bool MeasureSingleFlood(const MeasurementContext& context, const Flood& flood, TextTable& table) {
   FleetOptions options;
   options.servers = DeploymentServers(
       flood.deployment, {"--service-ms=" + FormatNumber(1000.0 * kServiceSeconds, 0)});
@@ -150,7 +152,8 @@
       StartFleet(std::move(options), flood.subject.IsDirect() ? "random" : flood.subject.strategy);
   if (!fleet) return false;
   const double unloaded_p99 =
-      RunLoad(Streams(flood, *fleet, kClasses[kUrgent].usual_load), context.Phase(), context.seed)
+      RunLoad(MakeStreams(flood, *fleet, kClasses[kUrgentIndex].baseline_load),
+              context.PhaseDuration(), context.seed)
           .front()
           .Quantile(0.99);
   const FloodResult result = RunFlood(context, flood, *fleet);
@@ -170,19 +173,19 @@
       {"flood", "priority", "sent", "skipped", "answered", "not-run", "unknown", "lost", "p50",
        "p99", "p99 / unloaded", "guaranteed", "kept", "goodput", "reasons"});
   std::vector<Flood> floods;
-  for (const Deployment* deployment : {&Breizh(), &Slamkorsel()}) {
-    floods.push_back({*deployment, AllSubjects().front(), kBulk});
-    floods.push_back({*deployment, AllSubjects().front(), kUrgent});
+  for (const Deployment* deployment : {&BreizhDeployment(), &SlamkorselDeployment()}) {
+    floods.push_back({*deployment, AllSubjects().front(), kBulkIndex});
+    floods.push_back({*deployment, AllSubjects().front(), kUrgentIndex});
   }
   // Two baselines with the flood of the least urgent work; all strategies share the owner's
   // admission.
   for (const Subject& subject : AllSubjects()) {
-    const bool is_compared = subject.strategy == "round_robin" || subject.IsDirect();
-    if (is_compared) floods.push_back({Breizh(), subject, kBulk});
+    const bool is_baseline = subject.strategy == "round_robin" || subject.IsDirect();
+    if (is_baseline) floods.push_back({BreizhDeployment(), subject, kBulkIndex});
   }
   if (context.is_quick) floods.erase(floods.begin() + 2, floods.end());
   for (const Flood& flood : floods) {
-    if (!MeasureOne(context, flood, table)) return false;
+    if (!MeasureSingleFlood(context, flood, table)) return false;
   }
   context.report.Add("flood", table);
   return true;
--- a/tests/benchmarks/main.cpp
+++ b/tests/benchmarks/main.cpp
@@ -30,12 +30,12 @@
     Measurement{"slopes", damaskhollow::test::MeasureSlope},
 };
 
-int RunAll(const QString& only, const MeasurementContext& context) {
+int RunMeasurements(const QString& selected, const MeasurementContext& context) {
   std::cout << "seed " << context.seed << (context.is_quick ? ", quick" : ", complete")
             << std::endl;
   bool is_complete = true;
   for (const Measurement& measurement : kMeasurements) {
-    if (!only.isEmpty() && only != measurement.name) continue;
+    if (!selected.isEmpty() && selected != measurement.name) continue;
     const auto start = std::chrono::steady_clock::now();
     const bool is_measured = measurement.run(context);
     const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
@@ -45,7 +45,7 @@
     std::cerr << "measurement " << measurement.name << " is not complete\n";
     is_complete = false;
   }
-  return is_complete && context.report.IsComplete() ? 0 : 1;
+  return is_complete && context.report.AllFilesWritten() ? 0 : 1;
 }
 
 }  // namespace
@@ -64,5 +64,5 @@
   Report report(parser.value("output").toStdString());
   const MeasurementContext context{report, parser.isSet("quick"),
                                    parser.value("seed").toULongLong()};
-  return RunAll(parser.value("only"), context);
+  return RunMeasurements(parser.value("only"), context);
 }
--- a/tests/benchmarks/report.cpp
+++ b/tests/benchmarks/report.cpp
@@ -14,11 +14,11 @@
 constexpr double kWidth = 720.0;
 constexpr double kHeight = 400.0;
 constexpr double kMargin = 60.0;
-constexpr int kTicks = 5;
+constexpr int kTickCount = 5;
 constexpr std::array<const char*, 6> kColours{"#0b6", "#06c", "#c30", "#a0a", "#960", "#333"};
 
 // The largest coordinates of a plot, at least 1 so that an empty plot can be drawn.
-std::pair<double, double> Extent(const Plot& plot) {
+std::pair<double, double> MaxCoordinates(const Plot& plot) {
   std::pair<double, double> extent{1.0, 1.0};
   for (const PlotSeries& series : plot.series) {
     for (const auto& [x, y] : series.points) {
@@ -39,12 +39,12 @@
   const double bottom = kHeight - kMargin;
   out << "<path d=\"M" << kMargin << ' ' << kMargin << " V" << bottom << " H" << kWidth - kMargin
       << "\" fill=\"none\" stroke=\"#000\"/>\n";
-  for (int tick = 0; tick <= kTicks; ++tick) {
-    const double part = static_cast<double>(tick) / kTicks;
-    WriteText(out, kMargin + part * (kWidth - 2 * kMargin), bottom + 16, "middle",
-              FormatNumber(part * x_max, 1));
-    WriteText(out, kMargin - 6, bottom - part * (kHeight - 2 * kMargin) + 4, "end",
-              FormatNumber(part * y_max, 1));
+  for (int tick = 0; tick <= kTickCount; ++tick) {
+    const double fraction = static_cast<double>(tick) / kTickCount;
+    WriteText(out, kMargin + fraction * (kWidth - 2 * kMargin), bottom + 16, "middle",
+              FormatNumber(fraction * x_max, 1));
+    WriteText(out, kMargin - 6, bottom - fraction * (kHeight - 2 * kMargin) + 4, "end",
+              FormatNumber(fraction * y_max, 1));
   }
   WriteText(out, kWidth / 2, 24, "middle", plot.title);
   WriteText(out, kWidth / 2, kHeight - 12, "middle", plot.x_label);
@@ -67,17 +67,17 @@
 }  // namespace
 
 Report::Report(std::string folder) : m_folder(std::move(folder)) {
-  m_is_complete = QDir().mkpath(QString::fromStdString(m_folder));
+  m_all_files_written = QDir().mkpath(QString::fromStdString(m_folder));
 }
 
 void Report::Add(std::string_view name, const TextTable& table) {
   table.Print(std::cout);
   const bool is_written = table.WriteCsv(m_folder + "/" + std::string(name) + ".csv");
-  m_is_complete = m_is_complete && is_written;
+  m_all_files_written = m_all_files_written && is_written;
 }
 
 void Report::Add(std::string_view name, const Plot& plot) {
-  const auto [x_max, y_max] = Extent(plot);
+  const auto [x_max, y_max] = MaxCoordinates(plot);
   std::ofstream out(m_folder + "/" + std::string(name) + ".svg");
   out << "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 " << kWidth << ' ' << kHeight
       << "\" font-family=\"sans-serif\" font-size=\"12\">\n";
@@ -86,7 +86,7 @@
     WriteSeries(out, plot.series[index], index, x_max, y_max);
   }
   out << "</svg>\n";
-  m_is_complete = m_is_complete && out.good();
+  m_all_files_written = m_all_files_written && out.good();
 }
 
 }  // namespace damaskhollow::test
--- a/tests/benchmarks/report.h
+++ b/tests/benchmarks/report.h
@@ -35,11 +35,11 @@
   void Add(std::string_view name, const Plot& plot);
 
   // False if a file could not be written.
-  bool IsComplete() const { return m_is_complete; }
+  bool AllFilesWritten() const { return m_all_files_written; }
 
  private:
   std::string m_folder;
-  bool m_is_complete = true;
+  bool m_all_files_written = true;
 };
 
 }  // namespace damaskhollow::test
--- a/tests/benchmarks/scenario.cpp
+++ b/tests/benchmarks/scenario.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kFullPhase{3000};
-constexpr std::chrono::milliseconds kQuickPhase{500};
-constexpr std::chrono::milliseconds kEndLimit{60000};
+constexpr std::chrono::milliseconds kFullPhaseDuration{3000};
+constexpr std::chrono::milliseconds kQuickPhaseDuration{500};
+constexpr std::chrono::milliseconds kCompletionTimeout{60000};
 constexpr double kPaidLinkBitsPerSecond = 30e6;
 // Nodes hold 1,024 caller connections each; the generator stays below the sum of a deployment.
-constexpr std::size_t kMaxPending = 8000;
+constexpr std::size_t kMaxPendingCalls = 8000;
 
 }  // namespace
 
-std::chrono::milliseconds MeasurementContext::Phase() const {
-  return is_quick ? kQuickPhase : kFullPhase;
+std::chrono::milliseconds MeasurementContext::PhaseDuration() const {
+  return is_quick ? kQuickPhaseDuration : kFullPhaseDuration;
 }
 
 std::vector<Subject> AllSubjects() {
@@ -33,7 +33,7 @@
           {"direct", ""}};
 }
 
-std::vector<Subject> SubjectsOf(const MeasurementContext& context) {
+std::vector<Subject> SubjectsFor(const MeasurementContext& context) {
   std::vector<Subject> subjects = AllSubjects();
   if (context.is_quick) {
     std::erase_if(subjects, [](const Subject& subject) {
@@ -43,26 +43,26 @@
   return subjects;
 }
 
-const Deployment& Breizh() {
+const Deployment& BreizhDeployment() {
   static const Deployment deployment{"Breizh", 9, 220};
   return deployment;
 }
 
-const Deployment& Slamkorsel() {
+const Deployment& SlamkorselDeployment() {
   static const Deployment deployment{"Slamkorsel", 11, 260};
   return deployment;
 }
 
 std::vector<FleetServer> DeploymentServers(const Deployment& deployment,
                                            const std::vector<std::string>& backend_arguments) {
-  constexpr std::array kPlaces{std::pair{"west", "w1"}, std::pair{"east", "e1"},
-                               std::pair{"west", "w2"}, std::pair{"east", "e2"}};
+  constexpr std::array kLocations{std::pair{"west", "w1"}, std::pair{"east", "e1"},
+                                  std::pair{"west", "w2"}, std::pair{"east", "e2"}};
   std::vector<FleetServer> servers;
   for (std::size_t index = 0; index < deployment.servers; ++index) {
     FleetServer server;
     server.id = "s" + std::to_string(index + 1);
-    server.region = kPlaces[index % kPlaces.size()].first;
-    server.data_centre = kPlaces[index % kPlaces.size()].second;
+    server.region = kLocations[index % kLocations.size()].first;
+    server.data_centre = kLocations[index % kLocations.size()].second;
     server.slots = kStandardSlots;
     server.connections = deployment.connections;
     server.backend_arguments = backend_arguments;
@@ -87,14 +87,14 @@
   return fleet;
 }
 
-std::vector<Endpoint> CallersOf(const Fleet& fleet) {
-  std::vector<Endpoint> callers;
-  callers.reserve(fleet.Size());
-  for (std::size_t index = 0; index < fleet.Size(); ++index) callers.push_back(fleet.Caller(index));
-  return callers;
+std::vector<Endpoint> CallerEndpoints(const Fleet& fleet) {
+  std::vector<Endpoint> nodes;
+  nodes.reserve(fleet.Size());
+  for (std::size_t index = 0; index < fleet.Size(); ++index) nodes.push_back(fleet.Caller(index));
+  return nodes;
 }
 
-std::vector<Endpoint> BackendsOf(const Fleet& fleet) {
+std::vector<Endpoint> BackendEndpoints(const Fleet& fleet) {
   std::vector<Endpoint> backends;
   const QJsonDocument declaration =
       QJsonDocument::fromJson(QByteArray::fromStdString(fleet.Declaration()));
@@ -120,16 +120,16 @@
 std::vector<LoadCounts> RunLoad(std::vector<LoadStream> streams, std::chrono::milliseconds duration,
                                 std::uint64_t seed) {
   const std::size_t count = streams.size();
-  LoadGenerator load(std::move(streams), seed, kMaxPending);
+  LoadGenerator load(std::move(streams), seed, kMaxPendingCalls);
   load.Start(duration);
-  WaitUntil([&] { return load.IsDone(); }, duration + kEndLimit);
+  WaitUntil([&] { return load.IsDone(); }, duration + kCompletionTimeout);
   std::vector<LoadCounts> counts;
   counts.reserve(count);
   for (std::size_t stream = 0; stream < count; ++stream) counts.push_back(load.Counts(stream));
   return counts;
 }
 
-std::string ReasonsText(const LoadCounts& counts) {
+std::string FormatReasons(const LoadCounts& counts) {
   std::string text;
   for (const auto& [reason, count] : counts.by_reason) {
     if (reason == "none") continue;
@@ -144,7 +144,7 @@
   return sum;
 }
 
-std::map<std::string, double> BusyByClass(Fleet& fleet) {
+std::map<std::string, double> BusyTimeByClass(Fleet& fleet) {
   std::map<std::string, double> busy_ms;
   for (std::size_t index = 0; index < fleet.Size(); ++index) {
     const QJsonObject classes = fleet.Runs(index)["classes"].toObject();
@@ -155,7 +155,7 @@
   return busy_ms;
 }
 
-Line FitLine(const std::vector<std::pair<double, double>>& points) {
+LinearFit FitLine(const std::vector<std::pair<double, double>>& points) {
   double sum_x = 0.0;
   double sum_y = 0.0;
   double sum_xx = 0.0;
@@ -167,10 +167,10 @@
     sum_xy += x * y;
   }
   const auto count = static_cast<double>(points.size());
-  const double spread = count * sum_xx - sum_x * sum_x;
-  if (spread == 0.0) return {};
-  const double slope = (count * sum_xy - sum_x * sum_y) / spread;
-  return Line{slope, (sum_y - slope * sum_x) / count};
+  const double denominator = count * sum_xx - sum_x * sum_x;
+  if (denominator == 0.0) return {};
+  const double slope = (count * sum_xy - sum_x * sum_y) / denominator;
+  return LinearFit{slope, (sum_y - slope * sum_x) / count};
 }
 
 }  // namespace damaskhollow::test
--- a/tests/benchmarks/scenario.h
+++ b/tests/benchmarks/scenario.h
@@ -22,7 +22,7 @@
   std::uint64_t seed = 1;
 
   // The length of one load phase.
-  std::chrono::milliseconds Phase() const;
+  std::chrono::milliseconds PhaseDuration() const;
 };
 
 // Who spreads the calls: the product with a routing strategy, or the callers themselves.
@@ -37,7 +37,7 @@
 std::vector<Subject> AllSubjects();
 
 // All subjects, or adaptive, round_robin and direct calls in a quick run.
-std::vector<Subject> SubjectsOf(const MeasurementContext& context);
+std::vector<Subject> SubjectsFor(const MeasurementContext& context);
 
 // One of the two deployments of design 1.5. The two services of each are one service here.
 struct Deployment {
@@ -45,8 +45,8 @@
   std::size_t servers;
   int connections;
 };
-const Deployment& Breizh();
-const Deployment& Slamkorsel();
+const Deployment& BreizhDeployment();
+const Deployment& SlamkorselDeployment();
 
 constexpr int kStandardSlots = 9;
 
@@ -59,8 +59,8 @@
 std::unique_ptr<Fleet> StartFleet(FleetOptions options, std::string_view strategy);
 
 // Addresses to which a subject's callers send.
-std::vector<Endpoint> CallersOf(const Fleet& fleet);
-std::vector<Endpoint> BackendsOf(const Fleet& fleet);
+std::vector<Endpoint> CallerEndpoints(const Fleet& fleet);
+std::vector<Endpoint> BackendEndpoints(const Fleet& fleet);
 
 // A stream of one kind of calls, named after its priority.
 LoadStream MakeStream(std::string_view name, std::string_view method, std::string_view target,
@@ -72,20 +72,20 @@
 
 // The reasons of the calls that were not answered, for instance "no_server 3"; "-" if there are
 // none.
-std::string ReasonsText(const LoadCounts& counts);
+std::string FormatReasons(const LoadCounts& counts);
 
 // The sum over all nodes of one line of /metrics.
 double MetricSum(Fleet& fleet, std::string_view name);
 
 // Milliseconds of completed runs by class, summed over all backend servers.
-std::map<std::string, double> BusyByClass(Fleet& fleet);
+std::map<std::string, double> BusyTimeByClass(Fleet& fleet);
 
 // The slope and intercept of a line through the points, by least squares.
-struct Line {
+struct LinearFit {
   double slope = 0.0;
   double intercept = 0.0;
 };
-Line FitLine(const std::vector<std::pair<double, double>>& points);
+LinearFit FitLine(const std::vector<std::pair<double, double>>& points);
 
 }  // namespace damaskhollow::test
 
--- a/tests/benchmarks/slopemeasurement.cpp
+++ b/tests/benchmarks/slopemeasurement.cpp
@@ -16,17 +16,17 @@
 
 constexpr double kKilobyte = 1024.0;
 
-void AddSlope(TextTable& table, std::string_view name, const Points& points) {
+void AddSlopeRow(TextTable& table, std::string_view name, const Points& points) {
   std::string text;
   for (const auto& [x, y] : points) {
     text += (text.empty() ? "" : "; ") + FormatNumber(x, 0) + ": " + FormatNumber(y);
   }
-  const Line line = FitLine(points);
+  const LinearFit fit = FitLine(points);
   table.AddRow(
-      {std::string(name), text, FormatNumber(line.intercept, 3), FormatNumber(line.slope, 4)});
+      {std::string(name), text, FormatNumber(fit.intercept, 3), FormatNumber(fit.slope, 4)});
 }
 
-std::vector<FleetServer> OneDataCentre(std::size_t count, int slots) {
+std::vector<FleetServer> SingleDataCentreServers(std::size_t count, int slots) {
   std::vector<FleetServer> servers = SmallFleet(static_cast<int>(count), slots);
   for (FleetServer& server : servers) server.connections = 1000;
   return servers;
@@ -54,35 +54,35 @@
 bool MeasurePeers(const MeasurementContext& context, TextTable& table) {
   constexpr std::array kFleetSizes{std::size_t{2}, std::size_t{7}, std::size_t{12}};
   Points memory;
-  Points processor;
+  Points cpu;
   for (const std::size_t size : kFleetSizes) {
     FleetOptions options;
-    options.servers = OneDataCentre(size, kStandardSlots);
+    options.servers = SingleDataCentreServers(size, kStandardSlots);
     const std::unique_ptr<Fleet> fleet = StartFleet(std::move(options), "adaptive");
     if (!fleet) return false;
-    RunFor(context.Phase() / 2);
+    RunFor(context.PhaseDuration() / 2);
     const double peers = static_cast<double>(size) - 1.0;
-    processor.emplace_back(peers, CpuPercent(*fleet, [&] { RunFor(context.Phase()); }));
+    cpu.emplace_back(peers, CpuPercent(*fleet, [&] { RunFor(context.PhaseDuration()); }));
     memory.emplace_back(peers, MeanMemoryKilobytes(*fleet));
   }
-  AddSlope(table, "KB of memory by linked peers, idle", memory);
-  AddSlope(table, "% of a core by linked peers, idle", processor);
+  AddSlopeRow(table, "KB of memory by linked peers, idle", memory);
+  AddSlopeRow(table, "% of a core by linked peers, idle", cpu);
   return true;
 }
 
 // Calls that a backend server holds keep memory at the ingress, at the owner, or both.
 bool MeasureInFlight(const MeasurementContext& context, TextTable& table) {
-  constexpr std::array kCalls{200.0, 400.0, 600.0, 800.0};
+  constexpr std::array kCallCounts{200.0, 400.0, 600.0, 800.0};
   constexpr int kSlots = 900;
   FleetOptions options;
-  options.servers = OneDataCentre(2, kSlots);
+  options.servers = SingleDataCentreServers(2, kSlots);
   options.deadline_ms = 60000;
   const std::unique_ptr<Fleet> fleet = StartFleet(std::move(options), "round_robin");
   if (!fleet) return false;
   Points points;
-  for (const double calls : kCalls) {
+  for (const double calls : kCallCounts) {
     fleet->SetBackends("hold=1");
-    LoadGenerator load({MakeStream("normal", "GET", "/page", calls * 2.0, CallersOf(*fleet))},
+    LoadGenerator load({MakeStream("normal", "GET", "/page", calls * 2.0, CallerEndpoints(*fleet))},
                        context.seed);
     load.Start(std::chrono::milliseconds(1000));
     RunFor(std::chrono::milliseconds(1500));
@@ -91,14 +91,14 @@
     fleet->SetBackends("hold=0");
     WaitUntil([&] { return load.IsDone(); });
   }
-  AddSlope(table, "KB of memory by calls in flight at each node", points);
+  AddSlopeRow(table, "KB of memory by calls in flight at each node", points);
   return true;
 }
 
 bool MeasureCalls(const MeasurementContext& context, TextTable& table) {
   constexpr std::array kRates{0.0, 100.0, 200.0, 350.0};
   FleetOptions options;
-  options.servers = OneDataCentre(4, kStandardSlots);
+  options.servers = SingleDataCentreServers(4, kStandardSlots);
   for (FleetServer& server : options.servers) server.backend_arguments = {"--service-ms=5"};
   const std::unique_ptr<Fleet> fleet = StartFleet(std::move(options), "random");
   if (!fleet) return false;
@@ -107,11 +107,11 @@
     const double calls_per_second = rate * static_cast<double>(fleet->Size());
     points.emplace_back(
         rate, CpuPercent(*fleet, [&] {
-          RunLoad({MakeStream("normal", "GET", "/page", calls_per_second, CallersOf(*fleet))},
-                  context.Phase(), context.seed);
+          RunLoad({MakeStream("normal", "GET", "/page", calls_per_second, CallerEndpoints(*fleet))},
+                  context.PhaseDuration(), context.seed);
         }));
   }
-  AddSlope(table, "% of a core by calls/s, as ingress and as owner", points);
+  AddSlopeRow(table, "% of a core by calls/s, as ingress and as owner", points);
   return true;
 }
 
@@ -121,7 +121,7 @@
   Points points;
   for (const std::size_t size : kFleetSizes) {
     FleetOptions options;
-    options.servers = OneDataCentre(size, kStandardSlots);
+    options.servers = SingleDataCentreServers(size, kStandardSlots);
     options.with_platform = true;
     const std::unique_ptr<Fleet> fleet = StartFleet(std::move(options), "adaptive");
     if (!fleet || !fleet->PutConfiguration(fleet->Declaration(), 2)) return false;
@@ -132,12 +132,12 @@
     if (!is_in_force) return false;
     points.emplace_back(static_cast<double>(size), fleet->PlatformReads()["reads"].toDouble());
   }
-  AddSlope(table, "store reads by nodes: start of a fleet in one data centre and one change",
-           points);
+  AddSlopeRow(table, "store reads by nodes: start of a fleet in one data centre and one change",
+              points);
   return true;
 }
 
-std::string LargeDeclaration(std::size_t servers) {
+std::string MakeLargeDeclaration(std::size_t servers) {
   std::ostringstream text;
   text << R"({"format": 1, "regions": [{"id": "r", "data_centres": ["d"]}],
     "priorities": [{"id": "p", "rank": 0, "target_ms": 100, "guaranteed_share": 0.5,
@@ -147,10 +147,10 @@
     "budgets": {"measuring_bytes_per_second": 1, "probes_per_second": 1,
       "paid_link_bytes_per_second": 1, "retry_share": 0.1, "hedge_share": 0.1},
     "backend_servers": [)";
-  constexpr std::size_t kLastByte = 250;
+  constexpr std::size_t kAddressesPerSubnet = 250;
   for (std::size_t index = 0; index < servers; ++index) {
-    const std::string address =
-        "10.0." + std::to_string(index / kLastByte) + "." + std::to_string(index % kLastByte + 1);
+    const std::string address = "10.0." + std::to_string(index / kAddressesPerSubnet) + "." +
+                                std::to_string(index % kAddressesPerSubnet + 1);
     text << (index == 0 ? "" : ",") << R"({"id": "s-)" << index
          << R"(", "service": "s", "address": ")" << address << R"(:8000", "peer_address": ")"
          << address
@@ -166,16 +166,16 @@
   Points memory;
   Points text_size;
   for (const std::size_t size : kSizes) {
-    const std::string text = LargeDeclaration(size);
+    const std::string text = MakeLargeDeclaration(size);
     const std::size_t before = ::mallinfo2().uordblks;
     const ParsedDeclaration parsed = ParseDeclaration("measured", text);
-    const double held = static_cast<double>(::mallinfo2().uordblks - before);
+    const double allocated_bytes = static_cast<double>(::mallinfo2().uordblks - before);
     if (!parsed.failures.empty()) continue;
-    memory.emplace_back(static_cast<double>(size), held / kKilobyte);
+    memory.emplace_back(static_cast<double>(size), allocated_bytes / kKilobyte);
     text_size.emplace_back(static_cast<double>(size), static_cast<double>(text.size()) / kKilobyte);
   }
-  AddSlope(table, "KB of memory of a parsed declaration by inventory entries", memory);
-  AddSlope(table, "KB of declaration text by inventory entries", text_size);
+  AddSlopeRow(table, "KB of memory of a parsed declaration by inventory entries", memory);
+  AddSlopeRow(table, "KB of declaration text by inventory entries", text_size);
 }
 
 }  // namespace
--- a/tests/benchmarks/tailmeasurement.cpp
+++ b/tests/benchmarks/tailmeasurement.cpp
@@ -12,59 +12,61 @@
 // 30 % of what nine servers with nine slots can take; a server slowed tenfold can then not take a
 // ninth of the calls.
 constexpr double kCallsPerSecond = 486.0;
-constexpr std::chrono::milliseconds kColdTime{2000};
+constexpr std::chrono::milliseconds kColdStartDuration{2000};
 
 // One state of the last of nine servers.
-struct Condition {
+struct BackendCondition {
   std::string_view name;
-  std::string_view set;
-  std::string_view reset;
-  bool restarts = false;
+  std::string_view set_query;
+  std::string_view reset_query;
+  bool restarts_backend = false;
 };
 
 constexpr std::array kConditions{
-    Condition{"healthy", "", "", false},
-    Condition{"one slowed tenfold", "slow=10", "slow=1", false},
-    Condition{"one cold", "", "", true},
-    Condition{"one fails fast", "fail=1", "fail=0", false},
+    BackendCondition{"healthy", "", "", false},
+    BackendCondition{"one slowed tenfold", "slow=10", "slow=1", false},
+    BackendCondition{"one cold", "", "", true},
+    BackendCondition{"one fails fast", "fail=1", "fail=0", false},
 };
 
-FleetOptions NineServers(bool with_cold_start) {
+FleetOptions NineServerFleet(bool with_cold_start) {
   FleetOptions options;
-  options.servers = DeploymentServers(Breizh(), {"--service-ms=" + FormatNumber(kServiceMs, 0)});
+  options.servers =
+      DeploymentServers(BreizhDeployment(), {"--service-ms=" + FormatNumber(kServiceMs, 0)});
   if (with_cold_start) {
     options.servers.back().backend_arguments.insert(
         options.servers.back().backend_arguments.end(),
-        {"--cold-factor=10", "--cold-ms=" + std::to_string(kColdTime.count())});
+        {"--cold-factor=10", "--cold-ms=" + std::to_string(kColdStartDuration.count())});
   }
   options.proxy_peers = true;
   return options;
 }
 
-int FailedRuns(Fleet& fleet) { return fleet.Runs(fleet.Size() - 1)["failed"].toInt(); }
+int FailedRunsOfLastServer(Fleet& fleet) { return fleet.Runs(fleet.Size() - 1)["failed"].toInt(); }
 
 void MeasureCondition(const MeasurementContext& context, Fleet& fleet, const Subject& subject,
-                      const Condition& condition, double& healthy_p99, TextTable& table) {
+                      const BackendCondition& condition, double& healthy_p99, TextTable& table) {
   const std::size_t last = fleet.Size() - 1;
-  if (!condition.set.empty()) fleet.SetBackend(last, condition.set);
-  if (condition.restarts) {
+  if (!condition.set_query.empty()) fleet.SetBackend(last, condition.set_query);
+  if (condition.restarts_backend) {
     fleet.RestartBackend(last);
     fleet.WaitUntilServing(last);
   }
-  const int failed_before = FailedRuns(fleet);
-  LoadStream stream = MakeStream("normal", "GET", "/page", kCallsPerSecond,
-                                 subject.IsDirect() ? BackendsOf(fleet) : CallersOf(fleet));
+  const int failed_before = FailedRunsOfLastServer(fleet);
+  LoadStream stream =
+      MakeStream("normal", "GET", "/page", kCallsPerSecond,
+                 subject.IsDirect() ? BackendEndpoints(fleet) : CallerEndpoints(fleet));
   stream.is_direct = subject.IsDirect();
-  const LoadCounts counts = RunLoad({stream}, context.Phase(), context.seed).front();
-  const int failed = FailedRuns(fleet) - failed_before;
-  if (!condition.reset.empty()) fleet.SetBackend(last, condition.reset);
+  const LoadCounts counts = RunLoad({stream}, context.PhaseDuration(), context.seed).front();
+  const int failed = FailedRunsOfLastServer(fleet) - failed_before;
+  if (!condition.reset_query.empty()) fleet.SetBackend(last, condition.reset_query);
   const double p99 = counts.Quantile(0.99);
   if (condition.name == "healthy") healthy_p99 = p99;
   table.AddRow({subject.name, std::string(condition.name), std::to_string(counts.sent),
                 std::to_string(counts.Count("answered")), std::to_string(failed),
                 FormatNumber(counts.Quantile(0.5)), FormatNumber(p99),
                 FormatNumber(counts.Quantile(0.999)),
-                healthy_p99 > 0.0 ? FormatNumber(p99 / healthy_p99) : "-", ReasonsText(counts)});
+                healthy_p99 > 0.0 ? FormatNumber(p99 / healthy_p99) : "-", FormatReasons(counts)});
 }
 
 }  // namespace
@@ -73,14 +75,14 @@
   TextTable table("tail latency, Breizh's size, two regions, 50 ms of service, 486 calls/s (ms)",
                   {"subject", "condition", "sent", "answered", "5xx", "p50", "p99", "p99.9",
                    "p99 / healthy", "reasons"});
-  for (const Subject& subject : SubjectsOf(context)) {
+  for (const Subject& subject : SubjectsFor(context)) {
     const std::unique_ptr<Fleet> fleet = StartFleet(
-        NineServers(!context.is_quick), subject.IsDirect() ? "random" : subject.strategy);
+        NineServerFleet(!context.is_quick), subject.IsDirect() ? "random" : subject.strategy);
     if (!fleet) return false;
-    if (!context.is_quick) RunFor(kColdTime);  // The last server is cold after its start.
+    if (!context.is_quick) RunFor(kColdStartDuration);  // The last server is cold after its start.
     double healthy_p99 = 0.0;
-    for (const Condition& condition : kConditions) {
-      if (context.is_quick && condition.restarts) continue;
+    for (const BackendCondition& condition : kConditions) {
+      if (context.is_quick && condition.restarts_backend) continue;
       MeasureCondition(context, *fleet, subject, condition, healthy_p99, table);
     }
   }
