--- a/tests/benchmarks/controlmeasurement.cpp
+++ b/tests/benchmarks/controlmeasurement.cpp
@@ -9,11 +9,11 @@
 constexpr double kCallsPerSecondPerNode = 100.0;
 constexpr double kMegabyte = 1024.0 * 1024.0;
 
-// What all nodes used so far.
+// The resources that all nodes have used since they started.
 struct Usage {
   double control_bytes = 0.0;
   double paid_link_control_bytes = 0.0;
-  double paid_link_bytes = 0.0;  // All traffic between regions, as the proxy saw it.
+  double paid_link_bytes = 0.0;  // All traffic between regions, as counted by the proxy.
   double cpu_seconds = 0.0;
   std::chrono::steady_clock::time_point read_at;
 };
@@ -29,6 +29,7 @@
   return usage;
 }
 
+// The resident memory of the node that uses most.
 double LargestNodeMegabytes(Fleet& fleet) {
   double largest = 0.0;
   for (std::size_t index = 0; index < fleet.Size(); ++index) {
@@ -37,6 +38,7 @@
   return largest / kMegabyte;
 }
 
+// Adds the usage since `before`.
 void AddRow(Fleet& fleet, const std::string& deployment, const std::string& phase,
             const Usage& before, TextTable& table) {
   const Usage after = ReadUsage(fleet);
@@ -57,7 +59,7 @@
   options.proxy_peers = true;
   const std::unique_ptr<Fleet> fleet = StartFleet(std::move(options), "adaptive");
   if (!fleet) return false;
-  RunFor(context.PhaseDuration());  // Start-up traffic is over.
+  RunFor(context.PhaseDuration());  // Excludes start-up traffic.
   Usage before = ReadUsage(*fleet);
   RunFor(context.PhaseDuration() * 2);
   AddRow(*fleet, deployment.name, "idle", before, table);
--- a/tests/benchmarks/controlmeasurement.h
+++ b/tests/benchmarks/controlmeasurement.h
@@ -5,8 +5,8 @@
 
 namespace damaskhollow::test {
 
-// Control traffic, processor time and memory of a node, idle and under load. False if a fleet did
-// not start.
+// Measures control traffic, CPU time and memory of a node, idle and under load. Returns false if a
+// fleet did not start.
 bool MeasureControl(const MeasurementContext& context);
 
 }  // namespace damaskhollow::test
--- a/tests/benchmarks/floodmeasurement.cpp
+++ b/tests/benchmarks/floodmeasurement.cpp
@@ -17,7 +17,7 @@
 constexpr double kFloodFactor = 10.0;
 constexpr std::chrono::milliseconds kSampleInterval{500};
 
-// Calls of one priority; the load is a part of the fleet's capacity.
+// The calls of one priority. Loads and shares are fractions of the fleet's capacity.
 struct PriorityClass {
   std::string_view name;
   std::string_view target;
@@ -25,7 +25,8 @@
   double baseline_load;
 };
 
-// Those that do not flood offer more than their guarantee, or there would be nothing to keep.
+// The baseline loads of normal and bulk exceed their guaranteed shares: with a lower load the
+// completed share could not show whether the guarantee holds during a flood.
 constexpr std::array kClasses{
     PriorityClass{"urgent", "/read", 0.40, 0.15},
     PriorityClass{"normal", "/page", 0.35, 0.40},
@@ -34,12 +35,13 @@
 constexpr std::size_t kUrgentIndex = 0;
 constexpr std::size_t kBulkIndex = 2;
 
-// One flood of one deployment by one subject.
+// A flood of calls of one priority on a deployment, with one subject distributing the calls.
 struct Flood {
   Deployment deployment;
   Subject subject;
   std::size_t flooding;  // Index into kClasses.
 
+  // Calls per second that all slots together can complete.
   double Capacity() const {
     return static_cast<double>(deployment.servers) * kStandardSlots / kServiceSeconds;
   }
@@ -49,6 +51,8 @@
   }
 };
 
+// The streams of a flood, one for each priority. If `urgent_only_load` is above 0, only urgent
+// calls are sent, at that fraction of capacity.
 std::vector<LoadStream> MakeStreams(const Flood& flood, const Fleet& fleet,
                                     double urgent_only_load) {
   const std::vector<Endpoint> targets =
@@ -65,14 +69,15 @@
   return streams;
 }
 
-// What a flood did, per class.
+// The results of a flood. The vectors are indexed like kClasses.
 struct FloodResult {
   std::vector<LoadCounts> counts;
-  std::vector<double> completed_share;  // Completed slot time as part of capacity.
-  std::vector<PlotSeries> over_time;
-  double goodput = 0.0;  // All completed slot time as part of capacity.
+  std::vector<double> completed_share;  // Completed service time as a fraction of capacity.
+  std::vector<PlotSeries> over_time;    // Completed share in percent by seconds.
+  double goodput = 0.0;                 // The sum of the completed shares.
 };
 
+// The planned service time in milliseconds of completed requests, indexed like kClasses.
 std::vector<double> BusyTimeByIndex(Fleet& fleet) {
   const std::map<std::string, double> busy_ms = BusyTimeByClass(fleet);
   std::vector<double> busy(kClasses.size());
@@ -94,7 +99,7 @@
   const double slots = static_cast<double>(flood.deployment.servers) * kStandardSlots;
   LoadGenerator load(MakeStreams(flood, fleet, 0.0), context.seed, 8000);
   load.Start(context.PhaseDuration() * 2);
-  // The share is measured in the second half, when queues and shares have settled.
+  // The shares are measured in the second half, when queues and shares are in a steady state.
   RunFor(context.PhaseDuration());
   const auto start = std::chrono::steady_clock::now();
   const std::vector<double> before = BusyTimeByIndex(fleet);
@@ -177,8 +182,8 @@
     floods.push_back({*deployment, AllSubjects().front(), kBulkIndex});
     floods.push_back({*deployment, AllSubjects().front(), kUrgentIndex});
   }
-  // Two baselines with the flood of the least urgent work; all strategies share the owner's
-  // admission.
+  // Only two baselines, each with a flood of the least urgent calls: admission at the owner is the
+  // same for all routing strategies.
   for (const Subject& subject : AllSubjects()) {
     const bool is_baseline = subject.strategy == "round_robin" || subject.IsDirect();
     if (is_baseline) floods.push_back({BreizhDeployment(), subject, kBulkIndex});
--- a/tests/benchmarks/floodmeasurement.h
+++ b/tests/benchmarks/floodmeasurement.h
@@ -5,8 +5,8 @@
 
 namespace damaskhollow::test {
 
-// Service by priority while the least or the most urgent work arrives at ten times capacity. False
-// if a fleet did not start.
+// Measures the latency and the share of capacity of each priority while the least or the most
+// urgent calls arrive at ten times capacity. Returns false if a fleet did not start.
 bool MeasureFlood(const MeasurementContext& context);
 
 }  // namespace damaskhollow::test
--- a/tests/benchmarks/latencymeasurement.cpp
+++ b/tests/benchmarks/latencymeasurement.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The shape of Breizh: 5 servers of the called service and 4 nodes of another one that take the
-// calls in, so that each call passes two nodes.
+// The size of the Breizh deployment: 5 servers of the called service and 4 nodes of another service
+// that are the ingress, so that each call passes through two nodes.
 constexpr std::size_t kServerCount = 5;
 constexpr std::size_t kIngressNodeCount = 4;
 constexpr std::array kRates{50.0, 150.0, 250.0, 350.0};
@@ -28,6 +28,7 @@
   return options;
 }
 
+// The addresses at which the ingress nodes accept calls.
 std::vector<Endpoint> IngressEndpoints(const Fleet& fleet) {
   std::vector<Endpoint> endpoints;
   for (std::size_t index = kServerCount; index < fleet.Size(); ++index) {
@@ -36,6 +37,7 @@
   return endpoints;
 }
 
+// Sends `rate` calls per second for each ingress node, spread over the targets.
 LoadCounts RunAtRate(const MeasurementContext& context, double rate, std::vector<Endpoint> targets,
                      bool is_direct) {
   LoadStream stream =
@@ -44,6 +46,7 @@
   return RunLoad({stream}, context.PhaseDuration(), context.seed).front();
 }
 
+// The difference to direct calls in milliseconds.
 std::string AddedLatency(const LoadCounts& counts, const LoadCounts& direct, double quantile) {
   return FormatNumber(counts.Quantile(quantile) - direct.Quantile(quantile));
 }
@@ -56,7 +59,8 @@
   PlotSeries direct_series{"direct p99", {}};
   RunAtRate(context, kRates.front(), IngressEndpoints(*fleet), false);  // Opens connections.
   for (const double rate : kRates) {
-    // The baselines only at the ends, to keep the run short.
+    // Baseline strategies and quick runs use only the lowest and the highest rate, to keep the run
+    // short.
     const bool is_extreme_rate = rate == kRates.front() || rate == kRates.back();
     if (!is_extreme_rate && (context.is_quick || subject.strategy != "adaptive")) continue;
     const LoadCounts direct = RunAtRate(context, rate, BackendEndpoints(*fleet), true);
--- a/tests/benchmarks/latencymeasurement.h
+++ b/tests/benchmarks/latencymeasurement.h
@@ -5,7 +5,8 @@
 
 namespace damaskhollow::test {
 
-// Latency that two nodes add to a direct call, at rising rates. False if a fleet did not start.
+// Measures the latency that two nodes add to a direct call, at increasing rates. Returns false if a
+// fleet did not start.
 bool MeasureLatency(const MeasurementContext& context);
 
 }  // namespace damaskhollow::test
--- a/tests/benchmarks/main.cpp
+++ b/tests/benchmarks/main.cpp
@@ -17,6 +17,7 @@
 using damaskhollow::test::MeasurementContext;
 using damaskhollow::test::Report;
 
+// A measurement that can be selected with --only. `run` returns false if it is incomplete.
 struct Measurement {
   const char* name;
   bool (*run)(const MeasurementContext&);
@@ -30,6 +31,8 @@
     Measurement{"slopes", damaskhollow::test::MeasureSlope},
 };
 
+// Runs the selected measurement, or all if `selected` is empty. Returns the exit status: 0 if all
+// measurements are complete and all files were written, 1 otherwise.
 int RunMeasurements(const QString& selected, const MeasurementContext& context) {
   std::cout << "seed " << context.seed << (context.is_quick ? ", quick" : ", complete")
             << std::endl;
@@ -42,7 +45,8 @@
     std::cout << measurement.name << " took "
               << damaskhollow::test::FormatNumber(elapsed.count(), 0) << " s" << std::endl;
     if (is_measured) continue;
-    std::cerr << "measurement " << measurement.name << " is not complete\n";
+    std::cerr << "measurement " << measurement.name
+              << " incomplete: a fleet could not be started or configured\n";
     is_complete = false;
   }
   return is_complete && context.report.AllFilesWritten() ? 0 : 1;
@@ -54,12 +58,13 @@
   std::signal(SIGPIPE, SIG_IGN);
   const QCoreApplication application(argc, argv);
   QCommandLineParser parser;
-  parser.setApplicationDescription("Measures fleets of nodes with stand-in backend servers.");
+  parser.setApplicationDescription(
+      "Measures the performance of fleets of nodes with stand-in backend servers.");
   parser.addHelpOption();
-  parser.addOptions({{"output", "Folder for CSV and SVG files.", "FOLDER", "results"},
-                     {"seed", "Seed of the loads.", "N", "1"},
-                     {"only", "latency, tail, flood, control or slopes.", "NAME"},
-                     {"quick", "Short phases; figures are rough."}});
+  parser.addOptions({{"output", "Output folder for CSV and SVG files.", "FOLDER", "results"},
+                     {"seed", "Seed of the load generators.", "N", "1"},
+                     {"only", "Run only latency, tail, flood, control or slopes.", "NAME"},
+                     {"quick", "Use short phases and fewer scenarios; results are approximate."}});
   parser.process(application);
   Report report(parser.value("output").toStdString());
   const MeasurementContext context{report, parser.isSet("quick"),
--- a/tests/benchmarks/report.cpp
+++ b/tests/benchmarks/report.cpp
@@ -17,7 +17,7 @@
 constexpr int kTickCount = 5;
 constexpr std::array<const char*, 6> kColours{"#0b6", "#06c", "#c30", "#a0a", "#960", "#333"};
 
-// The largest coordinates of a plot, at least 1 so that an empty plot can be drawn.
+// The largest x and the largest y of a plot, each at least 1 so that an empty plot can be drawn.
 std::pair<double, double> MaxCoordinates(const Plot& plot) {
   std::pair<double, double> extent{1.0, 1.0};
   for (const PlotSeries& series : plot.series) {
--- a/tests/benchmarks/report.h
+++ b/tests/benchmarks/report.h
@@ -23,9 +23,10 @@
   std::vector<PlotSeries> series;
 };
 
-// Prints results and writes them into a folder.
+// Prints the tables of the measurements and writes tables and plots as files into a folder.
 class Report {
  public:
+  // Creates the folder if it does not exist.
   explicit Report(std::string folder);
 
   // Prints the table and writes it as NAME.csv.
@@ -34,7 +35,7 @@
   // Writes the plot as NAME.svg.
   void Add(std::string_view name, const Plot& plot);
 
-  // False if a file could not be written.
+  // False if the folder could not be created or a file could not be written.
   bool AllFilesWritten() const { return m_all_files_written; }
 
  private:
--- a/tests/benchmarks/scenario.cpp
+++ b/tests/benchmarks/scenario.cpp
@@ -16,7 +16,8 @@
 constexpr std::chrono::milliseconds kQuickPhaseDuration{500};
 constexpr std::chrono::milliseconds kCompletionTimeout{60000};
 constexpr double kPaidLinkBitsPerSecond = 30e6;
-// Nodes hold 1,024 caller connections each; the generator stays below the sum of a deployment.
+// Each node holds at most 1,024 caller connections. The limit is below the sum over all nodes of a
+// deployment.
 constexpr std::size_t kMaxPendingCalls = 8000;
 
 }  // namespace
@@ -77,7 +78,7 @@
   options.node_arguments.emplace_back("--log-level=error");
   auto fleet = std::make_unique<Fleet>(std::move(options));
   if (!fleet->Start()) {
-    std::cerr << "the fleet did not start:\n" << fleet->NodeOutput() << '\n';
+    std::cerr << "could not start the fleet; output of the nodes:\n" << fleet->NodeOutput() << '\n';
     return nullptr;
   }
   if (has_proxy) {
--- a/tests/benchmarks/slopemeasurement.cpp
+++ b/tests/benchmarks/slopemeasurement.cpp
@@ -16,6 +16,7 @@
 
 constexpr double kKilobyte = 1024.0;
 
+// Adds a row with the points and the slope and intercept of the line fitted to them.
 void AddSlopeRow(TextTable& table, std::string_view name, const Points& points) {
   std::string text;
   for (const auto& [x, y] : points) {
@@ -41,7 +42,7 @@
   return MetricSum(fleet, "damaskhollow_process_cpu_seconds_total");
 }
 
-// Percent of a core that a node uses while `run` runs.
+// The CPU time that a node uses on average while `run` executes, in percent of a core.
 template <class Run>
 double CpuPercent(Fleet& fleet, Run run) {
   const double before = CpuSeconds(fleet);
@@ -70,7 +71,8 @@
   return true;
 }
 
-// Calls that a backend server holds keep memory at the ingress, at the owner, or both.
+// The backend servers hold all calls, so that each call uses memory at its ingress node, at its
+// owner or at both.
 bool MeasureInFlight(const MeasurementContext& context, TextTable& table) {
   constexpr std::array kCallCounts{200.0, 400.0, 600.0, 800.0};
   constexpr int kSlots = 900;
@@ -115,7 +117,8 @@
   return true;
 }
 
-// Reads of the configuration service from the start of a fleet until a change is in force.
+// Counts the reads of the configuration service from the start of a fleet until all nodes have
+// applied a configuration change.
 bool MeasureStoreReads(TextTable& table) {
   constexpr std::array kFleetSizes{std::size_t{3}, std::size_t{6}, std::size_t{9}};
   Points points;
@@ -137,6 +140,7 @@
   return true;
 }
 
+// A declaration with this many backend servers, as JSON.
 std::string MakeLargeDeclaration(std::size_t servers) {
   std::ostringstream text;
   text << R"({"format": 1, "regions": [{"id": "r", "data_centres": ["d"]}],
@@ -161,6 +165,8 @@
   return text.str();
 }
 
+// Measures the memory of a parsed declaration and the size of its text by the number of backend
+// servers in it.
 void MeasureInventory(TextTable& table) {
   constexpr std::array kSizes{std::size_t{300}, std::size_t{600}, std::size_t{1200}};
   Points memory;
--- a/tests/benchmarks/slopemeasurement.h
+++ b/tests/benchmarks/slopemeasurement.h
@@ -5,8 +5,9 @@
 
 namespace damaskhollow::test {
 
-// How memory and processor time of a node grow with links, calls and peers. False if a fleet did
-// not start.
+// Measures how memory and CPU time of a node grow with peers and calls, store reads with nodes, and
+// the declaration with its entries. Returns false if a fleet did not start or did not apply a
+// configuration.
 bool MeasureSlope(const MeasurementContext& context);
 
 }  // namespace damaskhollow::test
--- a/tests/benchmarks/tailmeasurement.cpp
+++ b/tests/benchmarks/tailmeasurement.cpp
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr double kServiceMs = 50.0;
-// 30 % of what nine servers with nine slots can take; a server slowed tenfold can then not take a
-// ninth of the calls.
+// 30 % of the capacity of nine servers with nine slots each. At this rate a server slowed tenfold
+// cannot serve one ninth of the calls.
 constexpr double kCallsPerSecond = 486.0;
 constexpr std::chrono::milliseconds kColdStartDuration{2000};
 
-// One state of the last of nine servers.
+// A condition of the last of the nine backend servers. The queries that set and reset it go to the
+// control interface of the server.
 struct BackendCondition {
   std::string_view name;
   std::string_view set_query;
   std::string_view reset_query;
-  bool restarts_backend = false;
+  bool restarts_backend = false;  // Before the measurement.
 };
 
 constexpr std::array kConditions{
@@ -42,6 +43,7 @@
   return options;
 }
 
+// Requests that the last backend server has rejected by failing fast since it started.
 int FailedRunsOfLastServer(Fleet& fleet) { return fleet.Runs(fleet.Size() - 1)["failed"].toInt(); }
 
 void MeasureCondition(const MeasurementContext& context, Fleet& fleet, const Subject& subject,
@@ -79,7 +81,8 @@
     const std::unique_ptr<Fleet> fleet = StartFleet(
         NineServerFleet(!context.is_quick), subject.IsDirect() ? "random" : subject.strategy);
     if (!fleet) return false;
-    if (!context.is_quick) RunFor(kColdStartDuration);  // The last server is cold after its start.
+    // After its start the last server is cold for this time.
+    if (!context.is_quick) RunFor(kColdStartDuration);
     double healthy_p99 = 0.0;
     for (const BackendCondition& condition : kConditions) {
       if (context.is_quick && condition.restarts_backend) continue;
--- a/tests/benchmarks/tailmeasurement.h
+++ b/tests/benchmarks/tailmeasurement.h
@@ -5,8 +5,8 @@
 
 namespace damaskhollow::test {
 
-// Latency with one of nine backend servers slow, cold or failing fast. False if a fleet did not
-// start.
+// Measures latency while one of nine backend servers is slow, cold or failing fast. Returns false
+// if a fleet did not start.
 bool MeasureTail(const MeasurementContext& context);
 
 }  // namespace damaskhollow::test
