--- a/tests/benchmarks/report.h
+++ b/tests/benchmarks/report.h
@@ -23,9 +23,10 @@
   std::vector<PlotSeries> series;
 };
 
-// Prints results and writes them into a folder.
+// Prints the tables of the measurements and writes tables and plots as files into a folder.
 class Report {
  public:
+  // Creates the folder if it does not exist.
   explicit Report(std::string folder);
 
   // Prints the table and writes it as NAME.csv.
@@ -34,12 +35,12 @@
   // Writes the plot as NAME.svg.
   void Add(std::string_view name, const Plot& plot);
 
-  // False if a file could not be written.
-  bool IsComplete() const { return m_is_complete; }
+  // False if the folder could not be created or a file could not be written.
+  bool AllFilesWritten() const { return m_all_files_written; }
 
  private:
   std::string m_folder;
-  bool m_is_complete = true;
+  bool m_all_files_written = true;
 };
 
 }  // namespace damaskhollow::test
