--- a/tests/integration/tst_backendabort.cpp
+++ b/tests/integration/tst_backendabort.cpp
@@ -37,10 +37,10 @@
   constexpr int kCalls = 10;
   for (int call = 0; call < kCalls; ++call) {
     const std::string id = "abort-" + std::to_string(call);
-    const HttpAnswer answer = fleet.Call(row.ingress, "POST", "/book?abort=1", {{"X-Test-Id", id}},
-                                         std::string(row.body_bytes, 'x'));
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("unknown"), answer.Outcome());
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), 1, fleet.RunsOf(id).ran);
+    const HttpAnswer response = fleet.Call(row.ingress, "POST", "/book?abort=1",
+                                           {{"X-Test-Id", id}}, std::string(row.body_bytes, 'x'));
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("unknown"), response.Outcome());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 1, fleet.RunsOf(id).ran);
   }
 }
 
@@ -48,7 +48,7 @@
 
 struct RefusalCase {
   std::string_view name;
-  std::string_view refusing;  // How the other backend server is set.
+  std::string_view backend_query;  // How the other backend server is set.
 };
 
 constexpr std::array kRefusalCases{
@@ -57,24 +57,24 @@
 };
 
 // Guards against a retry's refusal that tells the caller of an aborted first run "not-run".
-void NeverCallsARunNotRun(const RefusalCase& row) {
+void NeverReportsNotRunAfterRun(const RefusalCase& row) {
   Fleet fleet({.servers = FrontedFleet(3)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  fleet.SetBackend(2, row.refusing);
+  fleet.SetBackend(2, row.backend_query);
   constexpr int kCalls = 30;
   int ran = 0;
   for (int call = 0; call < kCalls; ++call) {
     const std::string id = "refused-" + std::to_string(call);
-    const HttpAnswer answer = fleet.Call(0, "GET", "/read?abort=1", {{"X-Test-Id", id}});
+    const HttpAnswer response = fleet.Call(0, "GET", "/read?abort=1", {{"X-Test-Id", id}});
     if (fleet.RunsOf(id).ran == 0) continue;
     ++ran;
-    CPPUNIT_ASSERT_MESSAGE(answer.Describe(), answer.Outcome() != "not-run");
+    CPPUNIT_ASSERT_MESSAGE(response.Describe(), response.Outcome() != "not-run");
   }
   CPPUNIT_ASSERT(ran > 0);
 }
 
 const TableTest<RefusalCase> refusal_registration("BackendAbortThenRefusal", kRefusalCases,
-                                                  &NeverCallsARunNotRun);
+                                                  &NeverReportsNotRunAfterRun);
 
 }  // namespace
 
--- a/tests/integration/tst_badinput.cpp
+++ b/tests/integration/tst_badinput.cpp
@@ -29,8 +29,8 @@
 
 void AssertServes(Fleet& fleet) {
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Node(0).IsRunning());
-  const HttpAnswer answer = fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
-  CPPUNIT_ASSERT_MESSAGE(answer.Describe(), answer.body == PatternBody("after", 10));
+  const HttpAnswer response = fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
+  CPPUNIT_ASSERT_MESSAGE(response.Describe(), response.body == PatternBody("after", 10));
 }
 
 // A request that must be refused without running.
@@ -96,16 +96,16 @@
                 "depth_exceeded"},
 };
 
-std::string Filled(std::string_view request) {
+std::string ExpandPlaceholders(std::string_view request) {
   std::string text(request);
-  const auto fill = [&text](std::string_view mark, std::size_t bytes) {
-    const std::size_t position = text.find(mark);
+  const auto expand = [&text](std::string_view placeholder, std::size_t bytes) {
+    const std::size_t position = text.find(placeholder);
     if (position != std::string::npos) {
-      text.replace(position, mark.size(), std::string(bytes, 'x'));
+      text.replace(position, placeholder.size(), std::string(bytes, 'x'));
     }
   };
-  fill("@H", kHeaderBytes);
-  fill("@B", kBodyLimitBytes + 1);
+  expand("@H", kHeaderBytes);
+  expand("@B", kBodyLimitBytes + 1);
   return text;
 }
 
@@ -114,7 +114,7 @@
   Fleet fleet(OneNode());
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   RawClient client(fleet.Caller(0));
-  client.Send(Filled(row.request));
+  client.Send(ExpandPlaceholders(row.request));
   const bool is_answered = client.WaitFor("\r\n\r\n");
   const std::string& received = client.Received();
   CPPUNIT_ASSERT_MESSAGE(received, is_answered);
@@ -130,13 +130,13 @@
 const TableTest<RefusedCase> refused_registration("BadInput", kRefusedCases, &RefusesBadInput);
 
 // How callers misbehave during well-formed requests.
-struct MannerCase {
+struct BehaviourCase {
   std::string_view name;
   void (*run)(Fleet&);
 };
 
 // Guards against answers in the order of completion: pipelined ones must keep the requests' order.
-void AnswersPipelinedInOrder(Fleet& fleet) {
+void RespondsInRequestOrder(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   std::string requests;
   for (const std::string_view delay_ms : {"200", "100", "0"}) {
@@ -153,9 +153,9 @@
 }
 
 // A connection whose caller never reads.
-class DeafCaller {
+class NonReadingCaller {
  public:
-  explicit DeafCaller(const Endpoint& node) : m_socket(::socket(AF_INET, SOCK_STREAM, 0)) {
+  explicit NonReadingCaller(const Endpoint& node) : m_socket(::socket(AF_INET, SOCK_STREAM, 0)) {
     constexpr int kSmallBuffer = 4096;
     ::setsockopt(m_socket, SOL_SOCKET, SO_RCVBUF, &kSmallBuffer, sizeof(kSmallBuffer));
     sockaddr_in address{};
@@ -165,9 +165,9 @@
     const auto* generic = reinterpret_cast<const sockaddr*>(&address);
     CPPUNIT_ASSERT_EQUAL(0, ::connect(m_socket, generic, sizeof(address)));
   }
-  ~DeafCaller() { ::close(m_socket); }
-  DeafCaller(const DeafCaller&) = delete;
-  DeafCaller& operator=(const DeafCaller&) = delete;
+  ~NonReadingCaller() { ::close(m_socket); }
+  NonReadingCaller(const NonReadingCaller&) = delete;
+  NonReadingCaller& operator=(const NonReadingCaller&) = delete;
 
   void Send(const std::string& bytes) const {
     CPPUNIT_ASSERT(::send(m_socket, bytes.data(), bytes.size(), 0) ==
@@ -191,7 +191,7 @@
   CPPUNIT_ASSERT_EQUAL(1, fleet.RunsOf("slow").completed);
 }
 
-void DropsATruncatedChunk(Fleet& fleet) {
+void DiscardsTruncatedChunk(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   client.Send(
       "POST /book HTTP/1.1\r\nHost: shop.test\r\nX-Test-Id: truncated\r\n"
@@ -205,12 +205,12 @@
 
 // Guards against a slot that stays taken by a call whose caller has left, and against harm to the
 // calls beside it.
-void FreesTheSlotOfACallerThatLeaves(Fleet& fleet) {
+void FreesSlotWhenCallerDisconnects(Fleet& fleet) {
   bool other_ended = false;
   HttpAnswer other;
   fleet.Send(0, MakeRequest("GET", "/read?ms=500&bytes=100", {{"X-Test-Id", "other"}}),
-             [&](const HttpAnswer& answer) {
-               other = answer;
+             [&](const HttpAnswer& response) {
+               other = response;
                other_ended = true;
              });
   RawClient leaving(fleet.Caller(0));
@@ -224,7 +224,7 @@
 }
 
 // Guards against a non-idempotent request that is cut because its caller left.
-void FinishesWhatMayNotBeCut(Fleet& fleet) {
+void FinishesNonIdempotentRequest(Fleet& fleet) {
   RawClient leaving(fleet.Caller(0));
   leaving.Send(
       "POST /book?ms=300 HTTP/1.1\r\nHost: shop.test\r\nX-Test-Id: booked\r\n"
@@ -247,7 +247,7 @@
 }
 
 // Guards against a request body that is kept in memory beyond the limit.
-void KeepsMemoryDuringAHugeUpload(Fleet& fleet) {
+void LimitsMemoryDuringHugeUpload(Fleet& fleet) {
   constexpr std::size_t kUploadBytes = 100UL * 1000UL * 1000UL;
   constexpr std::size_t kMemoryLimitKilobytes = 32UL * 1024UL;
   RawClient client(fleet.Caller(0));
@@ -263,17 +263,17 @@
   CPPUNIT_ASSERT_MESSAGE(std::to_string(peak), peak > 0 && peak < kMemoryLimitKilobytes);
 }
 
-constexpr std::array kMannerCases{
-    MannerCase{"pipelined requests are answered in order", &AnswersPipelinedInOrder},
-    MannerCase{"slow sender", &AcceptsASlowSender},
-    MannerCase{"truncated chunk", &DropsATruncatedChunk},
-    MannerCase{"caller leaves during an idempotent request", &FreesTheSlotOfACallerThatLeaves},
-    MannerCase{"caller leaves during another request", &FinishesWhatMayNotBeCut},
-    MannerCase{"garbage on the peer port", &SurvivesGarbageFromAPeer},
-    MannerCase{"body of 100 MB", &KeepsMemoryDuringAHugeUpload},
+constexpr std::array kBehaviourCases{
+    BehaviourCase{"pipelined requests are answered in order", &RespondsInRequestOrder},
+    BehaviourCase{"slow sender", &AcceptsASlowSender},
+    BehaviourCase{"truncated chunk", &DiscardsTruncatedChunk},
+    BehaviourCase{"caller leaves during an idempotent request", &FreesSlotWhenCallerDisconnects},
+    BehaviourCase{"caller leaves during another request", &FinishesNonIdempotentRequest},
+    BehaviourCase{"garbage on the peer port", &SurvivesGarbageFromAPeer},
+    BehaviourCase{"body of 100 MB", &LimitsMemoryDuringHugeUpload},
 };
 
-void SurvivesManners(const MannerCase& row) {
+void SurvivesCallerBehaviour(const BehaviourCase& row) {
   Fleet fleet(OneNode());
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   row.run(fleet);
@@ -283,7 +283,7 @@
 // What keeps the answers of one connection from being finished in time.
 struct LateCase {
   std::string_view name;
-  bool owner_stands_still;  // Otherwise the caller alone is slow.
+  bool owner_is_paused;  // Otherwise the caller alone is slow.
 };
 
 constexpr std::array kLateCases{
@@ -293,10 +293,10 @@
 
 // Guards against an answer that breaks off and takes with it the node, as those behind it on the
 // same connection are late at the same moment.
-void EndsLateAnswersOfOneConnection(const LateCase& row) {
+void EndsLateResponsesOfOneConnection(const LateCase& row) {
   Fleet fleet({.servers = FrontedFleet(2)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  const DeafCaller caller(fleet.Caller(0));
+  const NonReadingCaller caller(fleet.Caller(0));
   std::string requests;
   for (const std::string_view id : {"late-1", "late-2"}) {
     requests += "GET /read?ms=0&bytes=20000000 HTTP/1.1\r\nHost: shop.test\r\nX-Test-Id: " +
@@ -306,7 +306,7 @@
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.RunsOf("late-2").ran == 1; }));
   CPPUNIT_ASSERT(
       WaitUntil([&] { return fleet.Metric(0, "damaskhollow_caller_connections") == 1; }));
-  if (row.owner_stands_still) fleet.Node(1).Signal(SIGSTOP);
+  if (row.owner_is_paused) fleet.Node(1).Signal(SIGSTOP);
   CPPUNIT_ASSERT(
       WaitUntil([&] { return fleet.Metric(0, "damaskhollow_caller_connections") == 0; }));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Node(0).IsRunning());
@@ -314,9 +314,10 @@
 }
 
 const TableTest<LateCase> late_registration("LateAnswers", kLateCases,
-                                            &EndsLateAnswersOfOneConnection);
+                                            &EndsLateResponsesOfOneConnection);
 
-const TableTest<MannerCase> manner_registration("CallerManners", kMannerCases, &SurvivesManners);
+const TableTest<BehaviourCase> behaviour_registration("CallerManners", kBehaviourCases,
+                                                      &SurvivesCallerBehaviour);
 
 // A start that must fail, with what the program says about it.
 struct StartCase {
--- a/tests/integration/tst_crashingrequest.cpp
+++ b/tests/integration/tst_crashingrequest.cpp
@@ -29,15 +29,15 @@
 constexpr int kResends = 10;
 // A request is banned after three crashes; one more send may be under way while the third crash is
 // made known.
-constexpr int kMostCrashes = 4;
-constexpr double kLeastAnswered = 0.95;
+constexpr int kMaxCrashes = 4;
+constexpr double kMinAnsweredShare = 0.95;
 constexpr std::chrono::milliseconds kRestartDelay{300};
 
 // Starts crashed backend servers again, as their platform would.
-class Restarter : public QObject {
+class BackendRestarter : public QObject {
  public:
-  explicit Restarter(Fleet& fleet) : m_fleet(fleet) {
-    connect(&m_timer, &QTimer::timeout, this, &Restarter::RestartCrashed);
+  explicit BackendRestarter(Fleet& fleet) : m_fleet(fleet) {
+    connect(&m_timer, &QTimer::timeout, this, &BackendRestarter::RestartCrashed);
     m_timer.start(kRestartDelay);
   }
 
@@ -57,7 +57,7 @@
   int m_crashes = 0;
 };
 
-bool AllServe(Fleet& fleet) {
+bool AreAllServing(Fleet& fleet) {
   for (std::size_t index = 0; index < fleet.Size(); ++index) {
     if (!fleet.Backend(index).IsRunning()) return false;
   }
@@ -66,10 +66,10 @@
 
 // Guards against a request that takes down one backend server after the other as its caller sends
 // it again and again.
-void StopsTheCrashes(const CrashCase& row) {
+void BansCrashingRequest(const CrashCase& row) {
   Fleet fleet({.servers = SmallFleet(4)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  Restarter restarter(fleet);
+  BackendRestarter restarter(fleet);
   std::vector<Endpoint> callers;
   for (std::size_t index = 0; index < fleet.Size(); ++index) callers.push_back(fleet.Caller(index));
   LoadGenerator load({{.name = "other",
@@ -78,13 +78,14 @@
                        .targets = callers}},
                      1);
   load.Start(std::chrono::minutes(5));
-  HttpAnswer last;
+  HttpAnswer last_response;
   std::string text;
   for (int resend = 0; resend < kResends; ++resend) {
-    last = fleet.Call(static_cast<std::size_t>(resend) % fleet.Size(), row.method, row.target);
-    text += last.Outcome() + " " + last.ReasonName() + "; ";
-    CPPUNIT_ASSERT_MESSAGE(text, last.Outcome() != "answered");
-    CPPUNIT_ASSERT_MESSAGE(text, WaitUntil([&] { return AllServe(fleet); }));
+    last_response =
+        fleet.Call(static_cast<std::size_t>(resend) % fleet.Size(), row.method, row.target);
+    text += last_response.Outcome() + " " + last_response.ReasonName() + "; ";
+    CPPUNIT_ASSERT_MESSAGE(text, last_response.Outcome() != "answered");
+    CPPUNIT_ASSERT_MESSAGE(text, WaitUntil([&] { return AreAllServing(fleet); }));
   }
   load.Stop();
   CPPUNIT_ASSERT(WaitUntil([&] { return load.IsDone(); }));
@@ -93,13 +94,13 @@
   for (const auto& [reason, count] : load.Counts(0).by_reason) {
     text += " " + reason + " " + std::to_string(count);
   }
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string("crashing_request"), last.ReasonName());
-  CPPUNIT_ASSERT_MESSAGE(text, restarter.Crashes() <= kMostCrashes);
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string("crashing_request"), last_response.ReasonName());
+  CPPUNIT_ASSERT_MESSAGE(text, restarter.Crashes() <= kMaxCrashes);
   CPPUNIT_ASSERT_MESSAGE(text, static_cast<double>(load.Counts(0).Count("answered")) >=
-                                   kLeastAnswered * static_cast<double>(load.Counts(0).sent));
+                                   kMinAnsweredShare * static_cast<double>(load.Counts(0).sent));
 }
 
-const TableTest<CrashCase> registration("CrashingRequest", kCases, &StopsTheCrashes);
+const TableTest<CrashCase> registration("CrashingRequest", kCases, &BansCrashingRequest);
 
 }  // namespace
 
--- a/tests/integration/tst_crowdedingress.cpp
+++ b/tests/integration/tst_crowdedingress.cpp
@@ -29,7 +29,7 @@
 
 // Guards against a node whose caller connections are all taken by less urgent work, so that an
 // urgent caller cannot even connect.
-void UrgentCallGetsIn(const CrowdCase& row) {
+void UrgentCallIsAccepted(const CrowdCase& row) {
   constexpr std::size_t kLimit = 40;
   Fleet fleet({.servers = SmallFleet(1),
                .node_arguments = {"--caller-connections=" + std::to_string(kLimit)}});
@@ -38,23 +38,23 @@
   constexpr std::string_view kOverloaded =
       "damaskhollow_refusals_total{reason=\"ingress_overloaded\"}";
   const bool has_calls = !row.request.empty();
-  const double before = fleet.Metric(0, kAccepted);
+  const double accepted_before = fleet.Metric(0, kAccepted);
   std::vector<std::unique_ptr<RawClient>> crowd;
   for (std::size_t count = 1; count <= kLimit + 2; ++count) {
     crowd.push_back(std::make_unique<RawClient>(fleet.Caller(0)));
     crowd.back()->Send(row.request);
     // Connections without a request that was read would give way to the next ones.
     const auto is_read = [&] {
-      return fleet.Metric(0, kAccepted) >= before + static_cast<double>(count);
+      return fleet.Metric(0, kAccepted) >= accepted_before + static_cast<double>(count);
     };
     CPPUNIT_ASSERT(!has_calls || WaitUntil(is_read));
   }
   CPPUNIT_ASSERT(!has_calls || WaitUntil([&] { return fleet.Metric(0, kOverloaded) > 0; }));
-  const HttpAnswer answer = fleet.Call(0, "GET", "/read");
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("answered"), answer.Outcome());
+  const HttpAnswer response = fleet.Call(0, "GET", "/read");
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("answered"), response.Outcome());
 }
 
-const TableTest<CrowdCase> registration("CrowdedIngress", kCases, &UrgentCallGetsIn);
+const TableTest<CrowdCase> registration("CrowdedIngress", kCases, &UrgentCallIsAccepted);
 
 }  // namespace
 
--- a/tests/integration/tst_distribution.cpp
+++ b/tests/integration/tst_distribution.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-struct ConfigurationCase {
+struct DistributionCase {
   std::string_view name;
   void (*run)(Fleet& fleet);
 };
@@ -77,7 +77,7 @@
 }
 
 // Guards against a restarted node that goes back to the older version of a stale service.
-void RestartBesideStaleService(Fleet& fleet) {
+void RestartWithStaleService(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   CPPUNIT_ASSERT(fleet.PutConfiguration(fleet.Declaration(), version + 5));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersionOnAll(fleet, version + 5));
@@ -110,7 +110,7 @@
 
 // Guards against followers that never see the VM list, and against an empty list that takes the
 // fleet out of work.
-void ListDecidesOnLeaving(Fleet& fleet) {
+void VmListDeterminesLeaving(Fleet& fleet) {
   CPPUNIT_ASSERT(fleet.PutVms(1001, {"s2"}));
   for (std::size_t node = 0; node < fleet.Size(); ++node) {
     CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(),
@@ -129,7 +129,7 @@
 }
 
 // Guards against a server that stays out of work after its backend server was replaced.
-void RestartedBackendIsTakenBack(Fleet& fleet) {
+void RestartedBackendServesAgain(Fleet& fleet) {
   fleet.SetBackend(1, "drain=1");
   for (std::size_t node = 0; node < fleet.Size(); ++node) {
     CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(),
@@ -168,22 +168,22 @@
 }
 
 constexpr std::array kCases{
-    ConfigurationCase{"a change reaches all nodes", &ChangeReachesAll},
-    ConfigurationCase{"an invalid change is refused", &InvalidChangeIsRefused},
-    ConfigurationCase{"restart beside a stale service", &RestartBesideStaleService},
-    ConfigurationCase{"restart while the service is down", &RestartWhileServiceIsDown},
-    ConfigurationCase{"the VM list decides on leaving", &ListDecidesOnLeaving},
-    ConfigurationCase{"a restarted backend server is taken back", &RestartedBackendIsTakenBack},
-    ConfigurationCase{"a paused node catches up", &PausedNodeCatchesUp},
+    DistributionCase{"a change reaches all nodes", &ChangeReachesAll},
+    DistributionCase{"an invalid change is refused", &InvalidChangeIsRefused},
+    DistributionCase{"restart beside a stale service", &RestartWithStaleService},
+    DistributionCase{"restart while the service is down", &RestartWhileServiceIsDown},
+    DistributionCase{"the VM list decides on leaving", &VmListDeterminesLeaving},
+    DistributionCase{"a restarted backend server is taken back", &RestartedBackendServesAgain},
+    DistributionCase{"a paused node catches up", &PausedNodeCatchesUp},
 };
 
-void RunCase(const ConfigurationCase& row) {
+void RunCase(const DistributionCase& row) {
   Fleet fleet({.servers = TwoRegions(), .with_platform = true});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   row.run(fleet);
 }
 
-const TableTest<ConfigurationCase> registration("Distribution", kCases, &RunCase);
+const TableTest<DistributionCase> registration("Distribution", kCases, &RunCase);
 
 }  // namespace
 
--- a/tests/integration/tst_flood.cpp
+++ b/tests/integration/tst_flood.cpp
@@ -22,14 +22,14 @@
 constexpr double kTolerance = 0.05;
 // Time for the flood to fill the queues, before counts are taken, and the time of counting.
 constexpr std::chrono::milliseconds kSettleTime{3000};
-constexpr std::chrono::milliseconds kCountTime{6000};
+constexpr std::chrono::milliseconds kMeasurementTime{6000};
 
 struct StreamPlan {
   std::string_view name;
   std::string_view path;
-  double load;            // Rate as a part of the fleet's capacity.
-  double least_answered;  // Part of the calls sent that must be answered.
-  double least_share;     // Part of the fleet's slot time that the calls must get.
+  double load;          // Rate as a part of the fleet's capacity.
+  double min_answered;  // Part of the calls sent that must be answered.
+  double min_share;     // Part of the fleet's slot time that the calls must get.
 };
 
 struct FloodCase {
@@ -53,27 +53,27 @@
                StreamPlan{"bulk", "/bulk", 0.5, 0.0, 0.2}}},
 };
 
-struct Served {
+struct ClassUsage {
   double busy_ms = 0.0;
   double completed = 0.0;
 };
 
-Served ServedOf(Fleet& fleet, std::string_view name) {
-  Served served;
+ClassUsage ClassUsageOf(Fleet& fleet, std::string_view name) {
+  ClassUsage usage;
   for (std::size_t server = 1; server < fleet.Size(); ++server) {
     const QJsonObject counts =
         fleet.Runs(server)["classes"]
             .toObject()[QString::fromUtf8(name.data(), static_cast<qsizetype>(name.size()))]
             .toObject();
-    served.busy_ms += counts["busy_ms"].toDouble();
-    served.completed += counts["completed"].toInt();
+    usage.busy_ms += counts["busy_ms"].toDouble();
+    usage.completed += counts["completed"].toInt();
   }
-  return served;
+  return usage;
 }
 
 // Guards against a flood of one priority that takes the others' guaranteed share or loses urgent
 // calls.
-void KeepsTheOthersServed(const FloodCase& row) {
+void KeepsOtherPrioritiesServed(const FloodCase& row) {
   Fleet fleet({.servers = FrontedFleet(1 + kServers, kSlots)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   std::vector<LoadStream> streams;
@@ -86,18 +86,19 @@
                        .targets = {fleet.Caller(0)}});
   }
   LoadGenerator load(std::move(streams), 1, 900);
-  load.Start(kSettleTime + kCountTime);
+  load.Start(kSettleTime + kMeasurementTime);
   RunFor(kSettleTime);
-  std::array<Served, 3> before;
+  std::array<ClassUsage, 3> before;
   for (std::size_t stream = 0; stream < before.size(); ++stream) {
-    before[stream] = ServedOf(fleet, row.streams[stream].name);
+    before[stream] = ClassUsageOf(fleet, row.streams[stream].name);
   }
   CPPUNIT_ASSERT(WaitUntil([&] { return load.IsDone(); }));
 
   std::array<double, 3> busy_ms{};
   double all_ms = 0.0;
   for (std::size_t stream = 0; stream < before.size(); ++stream) {
-    busy_ms[stream] = ServedOf(fleet, row.streams[stream].name).busy_ms - before[stream].busy_ms;
+    busy_ms[stream] =
+        ClassUsageOf(fleet, row.streams[stream].name).busy_ms - before[stream].busy_ms;
     all_ms += busy_ms[stream];
   }
   std::string text;
@@ -117,12 +118,12 @@
     const LoadCounts& counts = load.Counts(stream);
     const auto answered = static_cast<double>(counts.Count("answered"));
     CPPUNIT_ASSERT_MESSAGE(
-        text, answered >= (plan.least_answered - kTolerance) * static_cast<double>(counts.sent));
-    CPPUNIT_ASSERT_MESSAGE(text, busy_ms[stream] / all_ms >= plan.least_share - kTolerance);
+        text, answered >= (plan.min_answered - kTolerance) * static_cast<double>(counts.sent));
+    CPPUNIT_ASSERT_MESSAGE(text, busy_ms[stream] / all_ms >= plan.min_share - kTolerance);
   }
 }
 
-const TableTest<FloodCase> registration("Flood", kCases, &KeepsTheOthersServed);
+const TableTest<FloodCase> registration("Flood", kCases, &KeepsOtherPrioritiesServed);
 
 }  // namespace
 
--- a/tests/integration/tst_mixedanswers.cpp
+++ b/tests/integration/tst_mixedanswers.cpp
@@ -30,7 +30,7 @@
 
 constexpr std::size_t kCalls = 150;
 constexpr std::array<std::size_t, 8> kSizes{0, 1, 100, 5000, 65536, 65537, 300000, 2000000};
-constexpr int kLongestMs = 60;
+constexpr int kMaxServiceMs = 60;
 // Shorter than the time after which a link counts as silent.
 constexpr std::chrono::milliseconds kHoldTime{100};
 
@@ -38,7 +38,7 @@
 
 // Guards against callers that get another call's answer, or a part of their own, when many answers
 // are under way at once and arrive late.
-void GivesEachItsOwnAnswer(const MixedCase& row) {
+void EachCallerGetsItsOwnResponse(const MixedCase& row) {
   Fleet fleet({.servers = SmallFleet(3, 8),
                .proxy_peers = true,
                .proxy_backends = true,
@@ -56,18 +56,18 @@
   }
   RandomSource random(row.seed);
   std::vector<std::size_t> sizes;
-  std::vector<HttpAnswer> answers(kCalls);
+  std::vector<HttpAnswer> responses(kCalls);
   std::size_t ended = 0;
   for (std::size_t call = 0; call < kCalls; ++call) {
     sizes.push_back(kSizes[random.Below(kSizes.size())]);
     const bool is_chunked = random.Below(2) == 0;
     const std::string target = (random.Below(2) == 0 ? "/read" : "/page") +
-                               ("?ms=" + std::to_string(random.Below(kLongestMs))) +
+                               ("?ms=" + std::to_string(random.Below(kMaxServiceMs))) +
                                "&bytes=" + std::to_string(sizes.back()) +
                                (is_chunked ? "&chunked=1" : "");
     fleet.Send(random.Below(fleet.Size()), MakeRequest("GET", target, {{"X-Test-Id", IdOf(call)}}),
-               [&, call](const HttpAnswer& answer) {
-                 answers[call] = answer;
+               [&, call](const HttpAnswer& response) {
+                 responses[call] = response;
                  ++ended;
                });
   }
@@ -80,14 +80,14 @@
   }
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitUntil([&] { return ended == kCalls; }));
   for (std::size_t call = 0; call < kCalls; ++call) {
-    const std::string text = IdOf(call) + ": " + answers[call].Describe();
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string("answered"), answers[call].Outcome());
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(text, IdOf(call), answers[call].Header("X-Test-Id"));
-    CPPUNIT_ASSERT_MESSAGE(text, answers[call].body == PatternBody(IdOf(call), sizes[call]));
+    const std::string text = IdOf(call) + ": " + responses[call].Describe();
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string("answered"), responses[call].Outcome());
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(text, IdOf(call), responses[call].Header("X-Test-Id"));
+    CPPUNIT_ASSERT_MESSAGE(text, responses[call].body == PatternBody(IdOf(call), sizes[call]));
   }
 }
 
-const TableTest<MixedCase> registration("MixedAnswers", kCases, &GivesEachItsOwnAnswer);
+const TableTest<MixedCase> registration("MixedAnswers", kCases, &EachCallerGetsItsOwnResponse);
 
 }  // namespace
 
--- a/tests/integration/tst_pausedowner.cpp
+++ b/tests/integration/tst_pausedowner.cpp
@@ -46,15 +46,15 @@
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.RunsOf("blocker").ran == 1; }));
 
   if (!row.queue_before_pause) fleet.Node(1).Signal(SIGSTOP);
-  std::array<HttpAnswer, kCalls> answers;
+  std::array<HttpAnswer, kCalls> responses;
   std::size_t ended = 0;
   for (std::size_t call = 0; call < kCalls; ++call) {
     const HttpRequest request =
         MakeRequest(row.method, std::string(row.path) + "?ms=0",
                     {{"X-Test-Id", IdOf(call)},
                      {"Damaskhollow-Deadline-Ms", std::to_string(kShortDeadline.count())}});
-    fleet.Send(0, request, [&, call](const HttpAnswer& answer) {
-      answers[call] = answer;
+    fleet.Send(0, request, [&, call](const HttpAnswer& response) {
+      responses[call] = response;
       ++ended;
     });
   }
@@ -79,8 +79,8 @@
                                   fleet.Status(1)["queued"].toInt() == 0;
                          }));
   for (std::size_t call = 0; call < kCalls; ++call) {
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(answers[call].Describe(), 0, fleet.RunsOf(IdOf(call)).ran);
-    CPPUNIT_ASSERT_MESSAGE(answers[call].Describe(), answers[call].Outcome() != "answered");
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(responses[call].Describe(), 0, fleet.RunsOf(IdOf(call)).ran);
+    CPPUNIT_ASSERT_MESSAGE(responses[call].Describe(), responses[call].Outcome() != "answered");
   }
   CPPUNIT_ASSERT_EQUAL(1, fleet.RunsOf("blocker").ran);
 }
--- a/tests/integration/tst_platformprogram.cpp
+++ b/tests/integration/tst_platformprogram.cpp
@@ -16,10 +16,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kExitLimit{20000};
-constexpr std::chrono::milliseconds kLogLimit{5000};  // Lines are written by a thread of their own.
+constexpr std::chrono::milliseconds kExitTimeout{20000};
+constexpr std::chrono::milliseconds kLogTimeout{
+    5000};  // Lines are written by a thread of their own.
 
-std::size_t RunsOf(PlatformFleet& fleet, std::string_view target) {
+std::size_t CountRuns(PlatformFleet& fleet, std::string_view target) {
   std::size_t count = 0;
   for (std::size_t index = 0; index < PlatformFleet::kNodes; ++index) {
     for (const StandInInstance::Run& run : fleet.Instance(index).Runs()) {
@@ -30,12 +31,12 @@
 }
 
 // Guards against a request that is changed on its way, or an answer that is.
-void PassesRequestAndAnswerOn(PlatformFleet& fleet) {
-  const HttpAnswer answer = fleet.Call(0, "POST", "/look/a?b=c", "body");
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), 200, answer.status);
-  CPPUNIT_ASSERT(answer.body.ends_with(" /look/a?b=c body"));
-  CPPUNIT_ASSERT_EQUAL("seal-" + answer.Header("Request-Id"), answer.Header("Response-Seal"));
-  const bool is_first = answer.body.starts_with("i-0");
+void ForwardsRequestAndResponse(PlatformFleet& fleet) {
+  const HttpAnswer response = fleet.Call(0, "POST", "/look/a?b=c", "body");
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 200, response.status);
+  CPPUNIT_ASSERT(response.body.ends_with(" /look/a?b=c body"));
+  CPPUNIT_ASSERT_EQUAL("seal-" + response.Header("Request-Id"), response.Header("Response-Seal"));
+  const bool is_first = response.body.starts_with("i-0");
   const StandInInstance::Run& run = fleet.Instance(is_first ? 0 : 1).Runs().back();
   CPPUNIT_ASSERT_EQUAL(std::string("portal"), run.caller_service);
   CPPUNIT_ASSERT_EQUAL(std::string("body"), run.body);
@@ -46,7 +47,7 @@
 }
 
 // Guards against a change of the configuration that does not take effect on all nodes.
-void FollowsConfiguration(PlatformFleet& fleet) {
+void AppliesConfigurationChange(PlatformFleet& fleet) {
   fleet.PutConfiguration(
       2, R"(,{"name":"new","hostname":"shop.test","prefix":"/new/","routeType":"safe",)"
          R"("service":"portal","timeout":"3s","slo":"600ms","priority":1,"attempts":2})");
@@ -56,17 +57,17 @@
 }
 
 // Guards against new work for an instance that leaves.
-void LeavesDrainingInstance(PlatformFleet& fleet) {
+void AvoidsDrainingInstance(PlatformFleet& fleet) {
   fleet.PutInstance(0, "draining");
-  const auto goes_to_other = [&] {
+  const auto is_served_by_other = [&] {
     return fleet.Call(0, "GET", "/look/drain").body.starts_with("i-1");
   };
   CPPUNIT_ASSERT(WaitUntil([&] {
     bool all = true;
-    for (int call = 0; call < 10; ++call) all = goes_to_other() && all;
+    for (int call = 0; call < 10; ++call) all = is_served_by_other() && all;
     return all;
   }));
-  for (int call = 0; call < 20; ++call) CPPUNIT_ASSERT(goes_to_other());
+  for (int call = 0; call < 20; ++call) CPPUNIT_ASSERT(is_served_by_other());
 }
 
 // Guards against a store that takes the nodes with it when it goes down.
@@ -80,24 +81,24 @@
 // Guards against a second run of a request that must not run twice, and a refusal that says that it
 // did not run.
 void RunsUnsafeRequestOnce(PlatformFleet& fleet) {
-  const HttpAnswer answer = fleet.Call(0, "POST", "/lost/x");
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), 502, answer.status);
-  CPPUNIT_ASSERT_EQUAL(std::size_t{1}, RunsOf(fleet, "/lost/x"));
+  const HttpAnswer response = fleet.Call(0, "POST", "/lost/x");
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 502, response.status);
+  CPPUNIT_ASSERT_EQUAL(std::size_t{1}, CountRuns(fleet, "/lost/x"));
 }
 
 // Guards against a node that cuts requests when it is stopped, or takes new callers until the end.
-void StopsWithoutCutting(PlatformFleet& fleet) {
+void StopsWithoutAbortingRequests(PlatformFleet& fleet) {
   int answered = 0;
   for (int call = 0; call < 4; ++call) {
-    fleet.Send(0, "GET", "/slow/x", [&](const HttpAnswer& answer) {
-      answered += answer.status == 200 && answer.complete ? 1 : 0;
+    fleet.Send(0, "GET", "/slow/x", [&](const HttpAnswer& response) {
+      answered += response.status == 200 && response.complete ? 1 : 0;
     });
   }
-  CPPUNIT_ASSERT(WaitUntil([&] { return RunsOf(fleet, "/slow/x") > 0; }));
+  CPPUNIT_ASSERT(WaitUntil([&] { return CountRuns(fleet, "/slow/x") > 0; }));
   fleet.Node(0).Signal(SIGTERM);
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.ReadyStatus(0) != 200; }));
   CPPUNIT_ASSERT(WaitUntil([&] { return answered == 4; }));
-  CPPUNIT_ASSERT(fleet.Node(0).WaitForExit(kExitLimit));
+  CPPUNIT_ASSERT(fleet.Node(0).WaitForExit(kExitTimeout));
   CPPUNIT_ASSERT_EQUAL(0, fleet.Node(0).ExitStatus());
 }
 
@@ -115,12 +116,12 @@
   fleet.Node(1).Kill();
   fleet.Store().SetMode(StandInStore::Mode::kBusy);
   fleet.StartNode(0);
-  HttpAnswer answer;
+  HttpAnswer response;
   CPPUNIT_ASSERT(WaitUntil([&] {
-    answer = fleet.Call(0, "GET", "/look/early");
-    return answer.status != 0;
+    response = fleet.Call(0, "GET", "/look/early");
+    return response.status != 0;
   }));
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), 503, answer.status);
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 503, response.status);
   fleet.Store().SetMode(StandInStore::Mode::kServing);
   CPPUNIT_ASSERT(fleet.WaitUntilServing(0));
 }
@@ -140,24 +141,24 @@
 
 // Waits until the log names the cause of a failed request: each of `facts` in one line of `event`.
 void AssertLogged(const PlatformFleet& fleet, std::string_view request_id, std::string_view event,
-                  const std::vector<std::string>& facts) {
+                  const std::vector<std::string>& fields) {
   const auto is_logged = [&] {
     const std::vector<std::string> lines = LinesOf(fleet, request_id, event);
     return std::any_of(lines.begin(), lines.end(), [&](const std::string& line) {
-      return std::all_of(facts.begin(), facts.end(), [&](const std::string& fact) {
-        return line.find(fact) != std::string::npos;
+      return std::all_of(fields.begin(), fields.end(), [&](const std::string& field) {
+        return line.find(field) != std::string::npos;
       });
     });
   };
   CPPUNIT_ASSERT_MESSAGE(
       std::string(event) + " of " + std::string(request_id) + "\n" + fleet.Output(),
-      WaitUntil(is_logged, kLogLimit));
+      WaitUntil(is_logged, kLogTimeout));
 }
 
 // From the id of a request that lost its answer to the cause, as docs/OPERATIONS.md shows it.
-void LogTellsLostAnswer(PlatformFleet& fleet) {
-  const HttpAnswer answer = fleet.Call(0, "POST", "/lost/x");
-  CPPUNIT_ASSERT_EQUAL(502, answer.status);
+void LogExplainsLostResponse(PlatformFleet& fleet) {
+  const HttpAnswer response = fleet.Call(0, "POST", "/lost/x");
+  CPPUNIT_ASSERT_EQUAL(502, response.status);
   const std::string id = fleet.LastRequestId();
   AssertLogged(fleet, id, "dispatched", {"instance=i-", "in_flight="});
   AssertLogged(fleet, id, "attempt_failed", {"reason=backend_closed", "server=127.0.0."});
@@ -166,29 +167,29 @@
 
 // From the id of a request that was refused under load to the cause. In a flood the lines on
 // failures are bounded, so some of the refused requests have none.
-void LogTellsOverload(PlatformFleet& fleet) {
-  constexpr int kFlood = 600;  // Ten seconds of work for both instances; callers wait three.
+void LogExplainsOverload(PlatformFleet& fleet) {
+  constexpr int kFloodCalls = 600;  // Ten seconds of work for both instances; callers wait three.
   std::vector<std::string> refused;
   int ended = 0;
-  for (int call = 0; call < kFlood; ++call) {
+  for (int call = 0; call < kFloodCalls; ++call) {
     std::string id = fleet.NextRequestId();
-    fleet.Send(0, "GET", "/slow/x", [&refused, &ended, id](const HttpAnswer& answer) {
+    fleet.Send(0, "GET", "/slow/x", [&refused, &ended, id](const HttpAnswer& response) {
       ++ended;
-      if (answer.status == 503) refused.push_back(id);
+      if (response.status == 503) refused.push_back(id);
     });
   }
-  CPPUNIT_ASSERT(WaitUntil([&] { return ended == kFlood; }));
-  const auto told = std::find_if(refused.begin(), refused.end(), [&](const std::string& id) {
+  CPPUNIT_ASSERT(WaitUntil([&] { return ended == kFloodCalls; }));
+  const auto logged_id = std::find_if(refused.begin(), refused.end(), [&](const std::string& id) {
     return !LinesOf(fleet, id, "owner_refused").empty() &&
            !LinesOf(fleet, id, "call_failed").empty();
   });
-  CPPUNIT_ASSERT(told != refused.end());
-  AssertLogged(fleet, *told, "owner_refused", {"reason=queue_full_time", "queued=", "limit="});
-  AssertLogged(fleet, *told, "call_failed", {"outcome=not-run", "status=503"});
+  CPPUNIT_ASSERT(logged_id != refused.end());
+  AssertLogged(fleet, *logged_id, "owner_refused", {"reason=queue_full_time", "queued=", "limit="});
+  AssertLogged(fleet, *logged_id, "call_failed", {"outcome=not-run", "status=503"});
 }
 
 // From the id of a request that an old configuration refused to the version in force.
-void LogTellsVersion(PlatformFleet& fleet) {
+void LogShowsConfigurationVersion(PlatformFleet& fleet) {
   CPPUNIT_ASSERT_EQUAL(404, fleet.Call(0, "GET", "/new/").status);
   AssertLogged(fleet, fleet.LastRequestId(), "call_failed", {"reason=no_rule", "version=1"});
 }
@@ -199,18 +200,18 @@
 };
 
 constexpr std::array kCases{
-    PlatformCase{"passes request and answer on", PassesRequestAndAnswerOn},
+    PlatformCase{"passes request and answer on", ForwardsRequestAndResponse},
     PlatformCase{"refuses an unknown route", RefusesUnknownRoute},
-    PlatformCase{"follows the configuration", FollowsConfiguration},
-    PlatformCase{"leaves a draining instance", LeavesDrainingInstance},
+    PlatformCase{"follows the configuration", AppliesConfigurationChange},
+    PlatformCase{"leaves a draining instance", AvoidsDrainingInstance},
     PlatformCase{"serves without the store", ServesWithoutStore},
     PlatformCase{"runs an unsafe request once", RunsUnsafeRequestOnce},
-    PlatformCase{"stops without cutting requests", StopsWithoutCutting},
+    PlatformCase{"stops without cutting requests", StopsWithoutAbortingRequests},
     PlatformCase{"serves again after a kill", ServesAgainAfterKill},
     PlatformCase{"refuses until it has a configuration", RefusesUntilConfigured},
-    PlatformCase{"log tells a lost answer", LogTellsLostAnswer},
-    PlatformCase{"log tells an overload", LogTellsOverload},
-    PlatformCase{"log tells the version in force", LogTellsVersion},
+    PlatformCase{"log tells a lost answer", LogExplainsLostResponse},
+    PlatformCase{"log tells an overload", LogExplainsOverload},
+    PlatformCase{"log tells the version in force", LogShowsConfigurationVersion},
 };
 
 // The whole program for the users' platform against stand-ins of the store and of instances.
--- a/tests/integration/tst_regioncut.cpp
+++ b/tests/integration/tst_regioncut.cpp
@@ -28,7 +28,7 @@
 };
 
 constexpr std::chrono::milliseconds kCutTime{4000};
-constexpr std::chrono::milliseconds kHealedTime{5000};
+constexpr std::chrono::milliseconds kTimeAfterHeal{5000};
 constexpr double kLinkBitsPerSecond = 30e6;
 constexpr int kPaidBytesPerSecond = 100000;
 constexpr int kMeasuringBytesPerSecond = 10000;
@@ -46,7 +46,7 @@
 
 // Guards against a side that depends on the other region, and against a surge across the paid link
 // when it comes back.
-void ServesFromItsOwn(const CutCase& row) {
+void EachRegionServesItself(const CutCase& row) {
   Fleet fleet({.servers = TwoRegions(),
                .proxy_peers = true,
                .measuring_bytes_per_second = kMeasuringBytesPerSecond,
@@ -66,7 +66,7 @@
          .targets = {fleet.Caller(index)}});
   }
   LoadGenerator load(std::move(streams), 1);
-  load.Start(kCutTime + kHealedTime);
+  load.Start(kCutTime + kTimeAfterHeal);
   RunFor(kCutTime);
   fleet.SetRegionLinks(row.heal);
   const auto healed_at = std::chrono::steady_clock::now();
@@ -93,7 +93,7 @@
   }
 }
 
-const TableTest<CutCase> registration("RegionCut", kCases, &ServesFromItsOwn);
+const TableTest<CutCase> registration("RegionCut", kCases, &EachRegionServesItself);
 
 }  // namespace
 
--- a/tests/integration/tst_resentrequest.cpp
+++ b/tests/integration/tst_resentrequest.cpp
@@ -19,34 +19,38 @@
 }
 
 // What happened to the first send when the second one comes.
-enum class FirstSend { kRunning, kRan, kHomeRestarted, kHomeGone };
+enum class FirstSendState { kRunning, kAnswered, kHomeRestarted, kHomeKilled };
 
 struct ResendCase {
   std::string_view name;
-  FirstSend first;
+  FirstSendState first;
   std::size_t bytes;         // Of the answer.
   std::string_view outcome;  // Of the second send.
   std::string_view reason;
-  std::string_view other_reason;  // Allowed as well, by another node that is asked; may be empty.
+  std::string_view
+      alternative_reason;  // Allowed as well, by another node that is asked; may be empty.
 };
 
 constexpr std::array kCases{
-    ResendCase{"while the first runs", FirstSend::kRunning, 100, "unknown", "already_running", ""},
-    ResendCase{"after a small answer", FirstSend::kRan, 100, "answered", "", ""},
-    ResendCase{"after a large answer", FirstSend::kRan, 100000, "answered", "already_ran", ""},
-    ResendCase{"after the home restarted", FirstSend::kHomeRestarted, 100, "unknown",
+    ResendCase{"while the first runs", FirstSendState::kRunning, 100, "unknown", "already_running",
+               ""},
+    ResendCase{"after a small answer", FirstSendState::kAnswered, 100, "answered", "", ""},
+    ResendCase{"after a large answer", FirstSendState::kAnswered, 100000, "answered", "already_ran",
+               ""},
+    ResendCase{"after the home restarted", FirstSendState::kHomeRestarted, 100, "unknown",
                "home_restarted", "home_released"},
-    ResendCase{"while the home is gone", FirstSend::kHomeGone, 100, "unknown", "home_unreachable",
-               "home_released"},
+    ResendCase{"while the home is gone", FirstSendState::kHomeKilled, 100, "unknown",
+               "home_unreachable", "home_released"},
 };
 
-HttpAnswer Book(Fleet& fleet, std::size_t ingress, const std::string& id, std::size_t bytes) {
+HttpAnswer SendBooking(Fleet& fleet, std::size_t ingress, const std::string& id,
+                       std::size_t bytes) {
   return fleet.Call(ingress, "POST", "/book?ms=0&bytes=" + std::to_string(bytes),
                     {{"X-Test-Id", id}, {"Damaskhollow-Request-Id", id}});
 }
 
-std::size_t IndexOf(const HttpAnswer& answer) {
-  return std::stoul(answer.Header("Damaskhollow-Served-By").substr(1)) - 1;
+std::size_t ServedByIndex(const HttpAnswer& response) {
+  return std::stoul(response.Header("Damaskhollow-Served-By").substr(1)) - 1;
 }
 
 bool IsLinkedTo(Fleet& fleet, std::size_t index, const std::string& peer) {
@@ -61,33 +65,34 @@
   // Homes refuse ids created before they had run for a while, so this waits for the youngest node.
   for (int call = 0; call < 8; ++call) {
     CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitUntil([&] {
-                             return Book(fleet, 0, NewRequestId("warm"), 0).Outcome() == "answered";
+                             return SendBooking(fleet, 0, NewRequestId("warm"), 0).Outcome() ==
+                                    "answered";
                            }));
   }
-  if (row.first == FirstSend::kRunning) fleet.SetBackends("hold=1");
+  if (row.first == FirstSendState::kRunning) fleet.SetBackends("hold=1");
   const std::string id = NewRequestId("booking");
   HttpAnswer first;
   bool first_ended = false;
   fleet.Send(0,
              MakeRequest("POST", "/book?ms=0&bytes=" + std::to_string(row.bytes),
                          {{"X-Test-Id", id}, {"Damaskhollow-Request-Id", id}}),
-             [&](const HttpAnswer& answer) {
-               first = answer;
+             [&](const HttpAnswer& response) {
+               first = response;
                first_ended = true;
              });
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.RunsOf(id).ran == 1; }));
   std::size_t ingress = 1;
-  if (row.first != FirstSend::kRunning) {
+  if (row.first != FirstSendState::kRunning) {
     CPPUNIT_ASSERT(WaitUntil([&] { return first_ended; }));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(first.Describe(), std::string("answered"), first.Outcome());
-    const std::size_t home = IndexOf(first);
+    const std::size_t home = ServedByIndex(first);
     if (home == ingress) ingress = 2;
-    if (row.first == FirstSend::kHomeRestarted) {
+    if (row.first == FirstSendState::kHomeRestarted) {
       fleet.RestartNode(home);
       CPPUNIT_ASSERT(fleet.WaitUntilReady(home));
       CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.WaitUntilLinked(ingress));
     }
-    if (row.first == FirstSend::kHomeGone) {
+    if (row.first == FirstSendState::kHomeKilled) {
       fleet.Node(home).Kill();
       // A request that is sent just before the loss is noticed is in doubt until its deadline.
       CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitUntil([&] {
@@ -99,22 +104,23 @@
   HttpAnswer second;
   CPPUNIT_ASSERT_MESSAGE(
       fleet.NodeOutput(), WaitUntil([&] {
-        second = Book(fleet, ingress, id, row.bytes);
+        second = SendBooking(fleet, ingress, id, row.bytes);
         const std::string reason = second.ReasonName();
         return reason != "link_unavailable" &&
-               (row.first != FirstSend::kHomeRestarted || reason != "home_unreachable");
+               (row.first != FirstSendState::kHomeRestarted || reason != "home_unreachable");
       }));
   const std::string text = second.Describe() + fleet.NodeOutput();
   CPPUNIT_ASSERT_EQUAL_MESSAGE(text, 1, fleet.RunsOf(id).ran);
   CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string(row.outcome), second.Outcome());
-  const bool is_named = second.ReasonName() == row.reason ||
-                        (!row.other_reason.empty() && second.ReasonName() == row.other_reason);
-  CPPUNIT_ASSERT_MESSAGE(text, is_named);
+  const bool is_expected_reason =
+      second.ReasonName() == row.reason ||
+      (!row.alternative_reason.empty() && second.ReasonName() == row.alternative_reason);
+  CPPUNIT_ASSERT_MESSAGE(text, is_expected_reason);
   if (row.outcome == "answered" && row.reason.empty()) {
     CPPUNIT_ASSERT_MESSAGE(text, second.body == PatternBody(id, row.bytes));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string("1"), second.Header("Damaskhollow-Replayed"));
   }
-  if (row.first != FirstSend::kRunning) return;
+  if (row.first != FirstSendState::kRunning) return;
   fleet.SetBackends("hold=0");
   CPPUNIT_ASSERT(WaitUntil([&] { return first_ended; }));
   CPPUNIT_ASSERT_MESSAGE(first.Describe(), first.body == PatternBody(id, row.bytes));
@@ -136,9 +142,9 @@
 void RefusesInvalidId(const InvalidIdCase& row) {
   Fleet fleet({.servers = SmallFleet(1)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  const HttpAnswer answer = Book(fleet, 0, std::string(row.id), 0);
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("request_id_invalid"),
-                               answer.ReasonName());
+  const HttpAnswer response = SendBooking(fleet, 0, std::string(row.id), 0);
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("request_id_invalid"),
+                               response.ReasonName());
   CPPUNIT_ASSERT_EQUAL(0, fleet.RunsOf(row.id).ran);
 }
 
--- a/tests/integration/tst_silentlink.cpp
+++ b/tests/integration/tst_silentlink.cpp
@@ -15,11 +15,11 @@
 namespace {
 
 // When the open connections between ingress and owners begin to swallow all bytes.
-enum class SilentFrom { kBeforeRequest, kWhileRunning, kAfterAnswer };
+enum class SilenceStart { kBeforeRequest, kWhileRunning, kAfterResponse };
 
 struct SilentCase {
   std::string_view name;
-  SilentFrom from;
+  SilenceStart silence_start;
   std::string_view method;
   std::string_view path;
   std::size_t bytes;  // Of the answer.
@@ -27,20 +27,21 @@
 };
 
 constexpr std::array kCases{
-    SilentCase{"idempotent, before the request", SilentFrom::kBeforeRequest, "GET", "/read", 1000,
+    SilentCase{"idempotent, before the request", SilenceStart::kBeforeRequest, "GET", "/read", 1000,
                true},
-    SilentCase{"idempotent, while it runs", SilentFrom::kWhileRunning, "GET", "/read", 1000, true},
-    SilentCase{"idempotent, after the answer", SilentFrom::kAfterAnswer, "GET", "/read", 1000,
+    SilentCase{"idempotent, while it runs", SilenceStart::kWhileRunning, "GET", "/read", 1000,
                true},
-    SilentCase{"not idempotent, before the request", SilentFrom::kBeforeRequest, "POST", "/book",
+    SilentCase{"idempotent, after the answer", SilenceStart::kAfterResponse, "GET", "/read", 1000,
+               true},
+    SilentCase{"not idempotent, before the request", SilenceStart::kBeforeRequest, "POST", "/book",
                1000, false},
-    SilentCase{"not idempotent, while it runs", SilentFrom::kWhileRunning, "POST", "/book", 1000,
-               false},
-    SilentCase{"not idempotent, after the answer", SilentFrom::kAfterAnswer, "POST", "/book", 1000,
+    SilentCase{"not idempotent, while it runs", SilenceStart::kWhileRunning, "POST", "/book", 1000,
                false},
-    SilentCase{"not idempotent, after an empty answer", SilentFrom::kAfterAnswer, "POST", "/book",
-               0, false},
-    SilentCase{"not idempotent, in a long answer", SilentFrom::kAfterAnswer, "POST", "/book",
+    SilentCase{"not idempotent, after the answer", SilenceStart::kAfterResponse, "POST", "/book",
+               1000, false},
+    SilentCase{"not idempotent, after an empty answer", SilenceStart::kAfterResponse, "POST",
+               "/book", 0, false},
+    SilentCase{"not idempotent, in a long answer", SilenceStart::kAfterResponse, "POST", "/book",
                150000, false},
 };
 
@@ -56,16 +57,16 @@
     // A call each way proves that the links carry calls.
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), m_fleet.Call(0, "GET", "/read").Outcome());
     m_fleet.SetBackends("hold=1");
-    if (m_row.from == SilentFrom::kBeforeRequest) Silence();
+    if (m_row.silence_start == SilenceStart::kBeforeRequest) SilenceLinks();
     SendCalls();
-    if (m_row.from == SilentFrom::kWhileRunning) {
+    if (m_row.silence_start == SilenceStart::kWhileRunning) {
       CPPUNIT_ASSERT(WaitUntil([&] { return CountRunning() == kCalls; }));
-      Silence();
+      SilenceLinks();
     }
-    if (m_row.from == SilentFrom::kAfterAnswer) AnswerIntoSilence();
+    if (m_row.silence_start == SilenceStart::kAfterResponse) DiscardResponses();
     m_fleet.SetBackends("hold=0");
     CPPUNIT_ASSERT_MESSAGE(m_fleet.NodeOutput(), WaitUntil([&] { return m_ended == kCalls; }));
-    for (std::size_t call = 0; call < kCalls; ++call) Check(call);
+    for (std::size_t call = 0; call < kCalls; ++call) CheckCall(call);
   }
 
  private:
@@ -76,28 +77,28 @@
         std::string(m_row.path) + "?ms=0&bytes=" + std::to_string(m_row.bytes);
     for (std::size_t call = 0; call < kCalls; ++call) {
       m_fleet.Send(0, MakeRequest(m_row.method, target, {{"X-Test-Id", IdOf(call)}}),
-                   [this, call](const HttpAnswer& answer) {
-                     m_answers[call] = answer;
+                   [this, call](const HttpAnswer& response) {
+                     m_responses[call] = response;
                      ++m_ended;
                    });
     }
   }
 
-  void ForEachLink(std::string_view query) {
+  void SetLinks(std::string_view query) {
     m_fleet.SetPeerLinks(0, 1, query);
     m_fleet.SetPeerLinks(0, 2, query);
   }
 
-  void Silence() { ForEachLink("silence=1"); }
+  void SilenceLinks() { SetLinks("silence=1"); }
 
   // Keeps the answers on the link until all have been given, and then discards them.
-  void AnswerIntoSilence() {
+  void DiscardResponses() {
     CPPUNIT_ASSERT(WaitUntil([&] { return CountRunning() == kCalls; }));
-    ForEachLink("hold=down");
+    SetLinks("hold=down");
     m_fleet.SetBackends("hold=0");
     CPPUNIT_ASSERT(WaitUntil([&] { return CountRunning() == 0; }));
-    Silence();
-    ForEachLink("hold=none");
+    SilenceLinks();
+    SetLinks("hold=none");
   }
 
   std::size_t CountRunning() {
@@ -108,18 +109,18 @@
     return running;
   }
 
-  void Check(std::size_t call) {
-    const HttpAnswer& answer = m_answers[call];
+  void CheckCall(std::size_t call) {
+    const HttpAnswer& response = m_responses[call];
     const RunCounts runs = m_fleet.RunsOf(IdOf(call));
-    const std::string text = answer.Describe() + "; ran " + std::to_string(runs.ran);
-    const std::string outcome = answer.Outcome();
+    const std::string text = response.Describe() + "; ran " + std::to_string(runs.ran);
+    const std::string outcome = response.Outcome();
     if (m_row.must_be_answered) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string("answered"), outcome);
     } else {
       CPPUNIT_ASSERT_MESSAGE(text, runs.ran <= 1);
     }
     if (outcome == "answered") {
-      CPPUNIT_ASSERT_MESSAGE(text, answer.body == PatternBody(IdOf(call), m_row.bytes));
+      CPPUNIT_ASSERT_MESSAGE(text, response.body == PatternBody(IdOf(call), m_row.bytes));
       CPPUNIT_ASSERT_MESSAGE(text, runs.completed >= 1);
     }
     if (outcome == "not-run") CPPUNIT_ASSERT_EQUAL_MESSAGE(text, 0, runs.ran);
@@ -129,7 +130,7 @@
 
   const SilentCase& m_row;
   Fleet m_fleet;
-  std::array<HttpAnswer, kCalls> m_answers;
+  std::array<HttpAnswer, kCalls> m_responses;
   std::size_t m_ended = 0;
 };
 
--- a/tests/integration/tst_slowcallers.cpp
+++ b/tests/integration/tst_slowcallers.cpp
@@ -17,15 +17,15 @@
 namespace {
 
 constexpr std::chrono::milliseconds kByteInterval{1000};
-constexpr std::string_view kHead =
+constexpr std::string_view kRequestHead =
     "GET /read?ms=0 HTTP/1.1\r\nHost: shop.test\r\nX-Slow: 0123456789\r\n\r\n";
 // The share of a node's memory that CONTRIBUTING.md allows.
 constexpr double kMemoryLimitBytes = 32.0 * 1024.0 * 1024.0;
 
 // Callers that send a request's head byte by byte and connect anew when they are cut off.
-class SlowCrowd : public QObject {
+class SlowCallers : public QObject {
  public:
-  SlowCrowd(const Endpoint& node, std::size_t count, std::size_t first_bytes)
+  SlowCallers(const Endpoint& node, std::size_t count, std::size_t first_bytes)
       : m_node(node), m_clients(count), m_sent(count, 0), m_first_bytes(first_bytes) {
     for (std::size_t index = 0; index < count; ++index) Connect(index);
     connect(&m_timer, &QTimer::timeout, this, [this] { SendNext(); });
@@ -38,7 +38,7 @@
   void Connect(std::size_t index) {
     m_clients[index] = std::make_unique<RawClient>(m_node);
     m_sent[index] = m_first_bytes;
-    m_clients[index]->Send(kHead.substr(0, m_first_bytes));
+    m_clients[index]->Send(kRequestHead.substr(0, m_first_bytes));
   }
 
   void SendNext() {
@@ -46,8 +46,8 @@
       if (!m_clients[index]->IsOpen()) {
         ++m_reconnects;
         Connect(index);
-      } else if (m_sent[index] + 1 < kHead.size()) {
-        m_clients[index]->Send(kHead.substr(m_sent[index]++, 1));
+      } else if (m_sent[index] + 1 < kRequestHead.size()) {
+        m_clients[index]->Send(kRequestHead.substr(m_sent[index]++, 1));
       }
     }
   }
@@ -75,25 +75,24 @@
 
 // Guards against callers that hold a node's connections without ever sending a whole request head:
 // others must be served throughout, and the node must not grow past its share of memory.
-void WholeRequestsAreServed(const SlowCase& row) {
+void CompleteRequestsAreServed(const SlowCase& row) {
   constexpr int kCalls = 60;
   constexpr std::chrono::milliseconds kCallInterval{100};
   Fleet fleet({.servers = SmallFleet(1)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  const SlowCrowd crowd(fleet.Caller(0), row.callers, row.first_bytes);
-  double most_bytes = 0.0;
+  const SlowCallers crowd(fleet.Caller(0), row.callers, row.first_bytes);
+  double max_bytes = 0.0;
   for (int call = 0; call < kCalls; ++call) {
-    const HttpAnswer answer = fleet.Call(0, "GET", row.path);
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("answered"), answer.Outcome());
-    most_bytes =
-        std::max(most_bytes, fleet.Metric(0, "damaskhollow_process_resident_memory_bytes "));
+    const HttpAnswer response = fleet.Call(0, "GET", row.path);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("answered"), response.Outcome());
+    max_bytes = std::max(max_bytes, fleet.Metric(0, "damaskhollow_process_resident_memory_bytes "));
     RunFor(kCallInterval);
   }
-  CPPUNIT_ASSERT_MESSAGE(std::to_string(most_bytes), most_bytes < kMemoryLimitBytes);
+  CPPUNIT_ASSERT_MESSAGE(std::to_string(max_bytes), max_bytes < kMemoryLimitBytes);
   CPPUNIT_ASSERT(crowd.Reconnects() > 0);
 }
 
-const TableTest<SlowCase> registration("SlowCallers", kCases, &WholeRequestsAreServed);
+const TableTest<SlowCase> registration("SlowCallers", kCases, &CompleteRequestsAreServed);
 
 }  // namespace
 
--- a/tests/integration/tst_soak.cpp
+++ b/tests/integration/tst_soak.cpp
@@ -23,7 +23,7 @@
 // Callers connect to the first two nodes, which live through a soak.
 constexpr std::size_t kIngresses = 2;
 constexpr int kRounds = 6;
-constexpr milliseconds kShortestRound{200};
+constexpr milliseconds kMinRoundTime{200};
 constexpr int kRoundSpreadMs = 900;
 
 // A fault at one of the other nodes, and what ends it.
@@ -61,17 +61,18 @@
           }},
 };
 
-struct SoakRow {
+struct SoakCase {
   std::string_view name;
   std::uint64_t seed;
 };
 
-constexpr std::array kRows{SoakRow{"seed 11", 11}, SoakRow{"seed 12", 12}, SoakRow{"seed 13", 13}};
+constexpr std::array kCases{SoakCase{"seed 11", 11}, SoakCase{"seed 12", 12},
+                            SoakCase{"seed 13", 13}};
 
 // Faults in an order and for times that the seed draws, while calls go on. Guards against promises
 // that hold in each fault but not in the next one's wake: nothing runs twice, no caller is told
 // something untrue, and the fleet serves again afterwards.
-void KeepsItsPromises(const SoakRow& row) {
+void KeepsGuarantees(const SoakCase& row) {
   FleetOptions options;
   options.servers = SmallFleet(kServers, 4);
   for (std::size_t index = kIngresses; index < kServers; ++index) {
@@ -85,26 +86,26 @@
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   RandomSource random(row.seed);
   CallLedger ledger(fleet, {0, 1}, 80.0, row.seed);
-  std::string story;
+  std::string fault_history;
   for (int round = 0; round < kRounds; ++round) {
     const Fault& fault = faults[random.Below(faults.size())];
     const std::size_t node = kIngresses + random.Below(kServers - kIngresses);
     const milliseconds time =
-        kShortestRound + milliseconds(random.Below(static_cast<std::size_t>(kRoundSpreadMs)));
-    story += std::string(fault.name) + " at node " + std::to_string(node) + " for " +
-             std::to_string(time.count()) + " ms; ";
+        kMinRoundTime + milliseconds(random.Below(static_cast<std::size_t>(kRoundSpreadMs)));
+    fault_history += std::string(fault.name) + " at node " + std::to_string(node) + " for " +
+                     std::to_string(time.count()) + " ms; ";
     fault.begin(fleet, node);
     RunFor(time);
     fault.end(fleet, node);
     RunFor(time / 2);
   }
-  CPPUNIT_ASSERT_MESSAGE(story + fleet.NodeOutput(), ledger.Finish());
+  CPPUNIT_ASSERT_MESSAGE(fault_history + fleet.NodeOutput(), ledger.Finish());
   ledger.CheckAll();
-  CPPUNIT_ASSERT_MESSAGE(story + ledger.Summary(), ledger.Answered() > ledger.Sent() / 2);
-  CPPUNIT_ASSERT_MESSAGE(story + fleet.NodeOutput(), fleet.WaitUntilAllServe());
+  CPPUNIT_ASSERT_MESSAGE(fault_history + ledger.Summary(), ledger.Answered() > ledger.Sent() / 2);
+  CPPUNIT_ASSERT_MESSAGE(fault_history + fleet.NodeOutput(), fleet.WaitUntilAllServe());
 }
 
-const TableTest<SoakRow> registration("Soak", kRows, &KeepsItsPromises);
+const TableTest<SoakCase> registration("Soak", kCases, &KeepsGuarantees);
 
 }  // namespace
 
--- a/tests/integration/tst_twofaults.cpp
+++ b/tests/integration/tst_twofaults.cpp
@@ -100,7 +100,7 @@
 
 // Guards against promises that hold in each fault but not in two at once: nothing runs twice, no
 // caller is told something untrue, and the fleet serves again afterwards.
-void KeepsItsPromises(const TwoFaultsCase& row) {
+void KeepsGuarantees(const TwoFaultsCase& row) {
   Fleet fleet(OptionsOf(row));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   std::vector<Endpoint> callers;
@@ -124,7 +124,7 @@
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.WaitUntilAllServe());
 }
 
-const TableTest<TwoFaultsCase> registration("TwoFaults", kCases, &KeepsItsPromises);
+const TableTest<TwoFaultsCase> registration("TwoFaults", kCases, &KeepsGuarantees);
 
 }  // namespace
 
