--- a/tests/integration/tst_silentlink.cpp
+++ b/tests/integration/tst_silentlink.cpp
@@ -84,21 +84,21 @@
     }
   }
 
-  void SetLinks(std::string_view query) {
+  void SetOwnerLinks(std::string_view query) {
     m_fleet.SetPeerLinks(0, 1, query);
     m_fleet.SetPeerLinks(0, 2, query);
   }
 
-  void SilenceLinks() { SetLinks("silence=1"); }
+  void SilenceLinks() { SetOwnerLinks("silence=1"); }
 
   // Keeps the answers on the link until all have been given, and then discards them.
   void DiscardResponses() {
     CPPUNIT_ASSERT(WaitUntil([&] { return CountRunning() == kCalls; }));
-    SetLinks("hold=down");
+    SetOwnerLinks("hold=down");
     m_fleet.SetBackends("hold=0");
     CPPUNIT_ASSERT(WaitUntil([&] { return CountRunning() == 0; }));
     SilenceLinks();
-    SetLinks("hold=none");
+    SetOwnerLinks("hold=none");
   }
 
   std::size_t CountRunning() {
