--- a/tests/integration/tst_backendabort.cpp
+++ b/tests/integration/tst_backendabort.cpp
@@ -13,9 +13,9 @@
 
 struct AbortCase {
   std::string_view name;
-  std::size_t ingress;     // Node that takes the calls.
-  std::size_t body_bytes;  // Of the request.
-  int warm_up_calls;       // Answered before, so that the aborted call reuses a connection.
+  std::size_t ingress;     // Index of the node that receives the calls.
+  std::size_t body_bytes;  // Size of the request body.
+  int warm_up_calls;       // Sent first, so that the aborted call reuses a connection.
 };
 
 constexpr std::array kCases{
@@ -25,8 +25,8 @@
     AbortCase{"reused connection with a body", 0, 300000, 20},
 };
 
-// Guards against a non-idempotent request that is sent again because the backend server closed the
-// connection after reading it, as HTTP clients do on reused connections.
+// Guards against a non-idempotent request that is sent twice: HTTP clients commonly resend a
+// request when the server closes a reused connection, but this backend server has already read it.
 void RunsOnce(const AbortCase& row) {
   Fleet fleet({.servers = FrontedFleet(3)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
@@ -48,7 +48,7 @@
 
 struct RefusalCase {
   std::string_view name;
-  std::string_view backend_query;  // How the other backend server is set.
+  std::string_view backend_query;  // Control query that makes the other server refuse or fail.
 };
 
 constexpr std::array kRefusalCases{
@@ -56,7 +56,8 @@
     RefusalCase{"the other server fails", "fail=500"},
 };
 
-// Guards against a retry's refusal that tells the caller of an aborted first run "not-run".
+// Guards against reporting "not-run" to the caller when the first attempt ran and was aborted, and
+// only the retry was refused.
 void NeverReportsNotRunAfterRun(const RefusalCase& row) {
   Fleet fleet({.servers = FrontedFleet(3)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
--- a/tests/integration/tst_badinput.cpp
+++ b/tests/integration/tst_badinput.cpp
@@ -33,10 +33,10 @@
   CPPUNIT_ASSERT_MESSAGE(response.Describe(), response.body == PatternBody("after", 10));
 }
 
-// A request that must be refused without running.
+// A request that must be refused without being run.
 struct RefusedCase {
   std::string_view name;
-  std::string_view request;  // @H stands for a long header value, @B for a body above the limit.
+  std::string_view request;  // @H: a long header value; @B: a body above the limit.
   std::string_view status;
   std::string_view reason;
 };
@@ -96,6 +96,7 @@
                 "depth_exceeded"},
 };
 
+// Replaces @H and @B in a request of the table by text of the intended length.
 std::string ExpandPlaceholders(std::string_view request) {
   std::string text(request);
   const auto expand = [&text](std::string_view placeholder, std::size_t bytes) {
@@ -109,7 +110,8 @@
   return text;
 }
 
-// Guards against input that runs, crashes the node or gets a misleading status.
+// Guards against invalid requests that are run, crash the node or are answered with a misleading
+// status.
 void RefusesBadInput(const RefusedCase& row) {
   Fleet fleet(OneNode());
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
@@ -129,13 +131,14 @@
 
 const TableTest<RefusedCase> refused_registration("BadInput", kRefusedCases, &RefusesBadInput);
 
-// How callers misbehave during well-formed requests.
+// An unusual behaviour of callers or peers that a node must survive.
 struct BehaviourCase {
   std::string_view name;
   void (*run)(Fleet&);
 };
 
-// Guards against answers in the order of completion: pipelined ones must keep the requests' order.
+// Guards against sending pipelined responses in the order of completion instead of the order of the
+// requests.
 void RespondsInRequestOrder(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   std::string requests;
@@ -152,7 +155,7 @@
   CPPUNIT_ASSERT(first < second && second < third);
 }
 
-// A connection whose caller never reads.
+// A connection of a caller that sends requests but never reads responses.
 class NonReadingCaller {
  public:
   explicit NonReadingCaller(const Endpoint& node) : m_socket(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -178,6 +181,7 @@
   const int m_socket;
 };
 
+// Guards against rejecting or repeating a request that arrives byte by byte.
 void AcceptsASlowSender(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   const std::string request =
@@ -191,6 +195,7 @@
   CPPUNIT_ASSERT_EQUAL(1, fleet.RunsOf("slow").completed);
 }
 
+// Guards against running a request whose connection is aborted in the middle of a chunk.
 void DiscardsTruncatedChunk(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   client.Send(
@@ -203,8 +208,8 @@
   CPPUNIT_ASSERT_EQUAL(0, fleet.RunsOf("truncated").ran);
 }
 
-// Guards against a slot that stays taken by a call whose caller has left, and against harm to the
-// calls beside it.
+// Guards against a slot that stays occupied by an idempotent call whose caller has disconnected,
+// and against side effects on concurrent calls of other callers.
 void FreesSlotWhenCallerDisconnects(Fleet& fleet) {
   bool other_ended = false;
   HttpAnswer other;
@@ -223,7 +228,7 @@
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.Status(0)["in_flight"].toInt() == 0; }));
 }
 
-// Guards against a non-idempotent request that is cut because its caller left.
+// Guards against aborting a non-idempotent request because its caller has disconnected.
 void FinishesNonIdempotentRequest(Fleet& fleet) {
   RawClient leaving(fleet.Caller(0));
   leaving.Send(
@@ -235,6 +240,7 @@
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.Status(0)["in_flight"].toInt() == 0; }));
 }
 
+// Guards against a node that fails on bytes on its peer port that do not follow the peer protocol.
 void SurvivesGarbageFromAPeer(Fleet& fleet) {
   for (const std::string_view bytes : {"GET / HTTP/1.1\r\n\r\n", "\xff\xff\xff\xff\xff\xff\xff\xff",
                                        "\xff\x00\x00\x00\x00\x00\x00\x00\x01\x7f\x03\x00NULL"}) {
@@ -246,7 +252,7 @@
   }
 }
 
-// Guards against a request body that is kept in memory beyond the limit.
+// Guards against buffering more of a request body than the body limit allows.
 void LimitsMemoryDuringHugeUpload(Fleet& fleet) {
   constexpr std::size_t kUploadBytes = 100UL * 1000UL * 1000UL;
   constexpr std::size_t kMemoryLimitKilobytes = 32UL * 1024UL;
@@ -280,10 +286,10 @@
   AssertServes(fleet);
 }
 
-// What keeps the answers of one connection from being finished in time.
+// Why the responses on one connection are not sent completely before their deadlines.
 struct LateCase {
   std::string_view name;
-  bool owner_is_paused;  // Otherwise the caller alone is slow.
+  bool owner_is_paused;  // Otherwise only the caller is slow.
 };
 
 constexpr std::array kLateCases{
@@ -291,8 +297,9 @@
     LateCase{"caller does not read, owner stands still", true},
 };
 
-// Guards against an answer that breaks off and takes with it the node, as those behind it on the
-// same connection are late at the same moment.
+// Guards against a crash of the node when it aborts a partly sent response at its deadline while
+// the pipelined responses behind it on the same connection reach their deadlines at the same
+// moment.
 void EndsLateResponsesOfOneConnection(const LateCase& row) {
   Fleet fleet({.servers = FrontedFleet(2)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
@@ -319,11 +326,11 @@
 const TableTest<BehaviourCase> behaviour_registration("CallerManners", kBehaviourCases,
                                                       &SurvivesCallerBehaviour);
 
-// A start that must fail, with what the program says about it.
+// A start that must fail, with the exit status and a part of the error message.
 struct StartCase {
   std::string_view name;
   std::string_view argument;     // Added to a valid command line.
-  std::string_view declaration;  // In place of the valid one if not empty; @none for no file.
+  std::string_view declaration;  // Replaces the valid one unless empty; @none: no file.
   int exit_status;
   std::string_view message;
 };
@@ -339,7 +346,7 @@
     StartCase{"declaration file is missing", "", "@none", 1, "file_unreadable"},
 };
 
-// Guards against a node that starts with settings or rules that it does not understand.
+// Guards against a node that starts with invalid settings or an invalid declaration.
 void RefusesToStart(const StartCase& row) {
   FleetOptions options = OneNode();
   if (!row.argument.empty()) options.node_arguments.emplace_back(row.argument);
--- a/tests/integration/tst_crashingrequest.cpp
+++ b/tests/integration/tst_crashingrequest.cpp
@@ -27,13 +27,13 @@
 };
 
 constexpr int kResends = 10;
-// A request is banned after three crashes; one more send may be under way while the third crash is
-// made known.
+// A request is banned after three crashes; one more attempt may be in progress while the third
+// crash is reported to the other nodes.
 constexpr int kMaxCrashes = 4;
 constexpr double kMinAnsweredShare = 0.95;
 constexpr std::chrono::milliseconds kRestartDelay{300};
 
-// Starts crashed backend servers again, as their platform would.
+// Restarts crashed backend servers, as the platform that runs them would.
 class BackendRestarter : public QObject {
  public:
   explicit BackendRestarter(Fleet& fleet) : m_fleet(fleet) {
@@ -57,6 +57,7 @@
   int m_crashes = 0;
 };
 
+// Returns whether all backend servers run and a call through each node is answered.
 bool AreAllServing(Fleet& fleet) {
   for (std::size_t index = 0; index < fleet.Size(); ++index) {
     if (!fleet.Backend(index).IsRunning()) return false;
@@ -64,8 +65,8 @@
   return fleet.WaitUntilAllServe();
 }
 
-// Guards against a request that takes down one backend server after the other as its caller sends
-// it again and again.
+// Guards against a request that crashes one backend server after another because its caller keeps
+// resending it.
 void BansCrashingRequest(const CrashCase& row) {
   Fleet fleet({.servers = SmallFleet(4)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
@@ -90,7 +91,7 @@
   load.Stop();
   CPPUNIT_ASSERT(WaitUntil([&] { return load.IsDone(); }));
   text += "crashes " + std::to_string(restarter.Crashes()) + "; of " +
-          std::to_string(load.Counts(0).sent) + " others";
+          std::to_string(load.Counts(0).sent) + " other calls:";
   for (const auto& [reason, count] : load.Counts(0).by_reason) {
     text += " " + reason + " " + std::to_string(count);
   }
--- a/tests/integration/tst_crowdedingress.cpp
+++ b/tests/integration/tst_crowdedingress.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-// What fills the caller connections of a node.
+// The connections that use up a node's limit of caller connections.
 struct CrowdCase {
   std::string_view name;
-  std::string_view request;  // Sent on each connection of the crowd; empty for none.
+  std::string_view request;  // Sent on each of these connections; empty: nothing is sent.
 };
 
 constexpr std::array kCases{
@@ -27,8 +27,8 @@
     CrowdCase{"idle connections", ""},
 };
 
-// Guards against a node whose caller connections are all taken by less urgent work, so that an
-// urgent caller cannot even connect.
+// Guards against a node that cannot accept an urgent caller's connection because less urgent calls
+// or idle connections use up the limit of caller connections.
 void UrgentCallIsAccepted(const CrowdCase& row) {
   constexpr std::size_t kLimit = 40;
   Fleet fleet({.servers = SmallFleet(1),
@@ -43,7 +43,7 @@
   for (std::size_t count = 1; count <= kLimit + 2; ++count) {
     crowd.push_back(std::make_unique<RawClient>(fleet.Caller(0)));
     crowd.back()->Send(row.request);
-    // Connections without a request that was read would give way to the next ones.
+    // A connection whose request has not been read yet may be closed in favour of the next one.
     const auto is_read = [&] {
       return fleet.Metric(0, kAccepted) >= accepted_before + static_cast<double>(count);
     };
--- a/tests/integration/tst_drain.cpp
+++ b/tests/integration/tst_drain.cpp
@@ -21,7 +21,7 @@
   std::string_view name;
   bool with_platform;
   void (*leave)(Fleet&);
-  bool node_exits;  // The node must end by itself after its last call.
+  bool node_exits;  // The node must exit by itself after its last call.
 };
 
 void LeaveBySignal(Fleet& fleet) { fleet.Node(1).Signal(SIGTERM); }
@@ -36,7 +36,7 @@
     DrainCase{"VM list", true, &LeaveByVmList, false},
 };
 
-// The promise is 3 s; the rest covers a busy machine.
+// Time after which a leaving server gets no calls any more: 3 s, plus 1 s for a busy machine.
 constexpr std::chrono::milliseconds kMaxLeaveTime{4000};
 constexpr std::chrono::milliseconds kLoadTime{9000};
 constexpr std::chrono::milliseconds kLongCallTime{7000};
@@ -45,12 +45,13 @@
 
 std::string IdOf(std::size_t call) { return "long-" + std::to_string(call); }
 
+// How many of the short calls ran on a backend server.
 int ShortCallRuns(Fleet& fleet, std::size_t server) {
   return fleet.Runs(server)["classes"].toObject()["short"].toObject()["ran"].toInt();
 }
 
-// Guards against work that still goes to a leaving backend server, and against calls that its
-// leaving cuts.
+// Guards against calls that are still sent to a leaving backend server, and against calls that are
+// aborted because it leaves.
 void LeavesWithoutLosingCalls(const DrainCase& row) {
   Fleet fleet({.servers = FrontedFleet(3, 8),
                .with_platform = row.with_platform,
@@ -58,7 +59,7 @@
                .deadline_ms = 60000,
                .hedge_share = 0.0});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  // The long calls: sent until each of the two servers has one.
+  // Sends long calls until each of the two servers runs one.
   std::vector<HttpAnswer> responses(kMaxLongCalls);
   std::size_t sent = 0;
   std::size_t ended = 0;
@@ -75,7 +76,7 @@
                });
     CPPUNIT_ASSERT(WaitUntil([&] { return fleet.RunsOf(IdOf(call)).ran == 1; }));
   }
-  CPPUNIT_ASSERT_MESSAGE("a long call runs on the leaving server", in_flight(1) > 0);
+  CPPUNIT_ASSERT_MESSAGE("no long call is in flight on the leaving server", in_flight(1) > 0);
 
   LoadGenerator load({{.name = "short",
                        .request = MakeRequest("GET", "/read?ms=5", {{"Host", "shop.test"}}),
--- a/tests/integration/tst_flood.cpp
+++ b/tests/integration/tst_flood.cpp
@@ -20,16 +20,16 @@
 constexpr double kServiceMs = 20.0;
 constexpr double kCapacityPerSecond = kServers * kSlots * 1000.0 / kServiceMs;
 constexpr double kTolerance = 0.05;
-// Time for the flood to fill the queues, before counts are taken, and the time of counting.
+// Time for the flood to fill the queues, and the measurement time that follows it.
 constexpr std::chrono::milliseconds kSettleTime{3000};
 constexpr std::chrono::milliseconds kMeasurementTime{6000};
 
 struct StreamPlan {
   std::string_view name;
   std::string_view path;
-  double load;          // Rate as a part of the fleet's capacity.
-  double min_answered;  // Part of the calls sent that must be answered.
-  double min_share;     // Part of the fleet's slot time that the calls must get.
+  double load;          // Rate as a fraction of the fleet's capacity.
+  double min_answered;  // Fraction of the calls sent that must be answered.
+  double min_share;     // Fraction of the fleet's slot time that the calls must get.
 };
 
 struct FloodCase {
@@ -53,11 +53,13 @@
                StreamPlan{"bulk", "/bulk", 0.5, 0.0, 0.2}}},
 };
 
+// Slot time and completed calls of one class of calls.
 struct ClassUsage {
   double busy_ms = 0.0;
   double completed = 0.0;
 };
 
+// The sums over all backend servers since their start.
 ClassUsage ClassUsageOf(Fleet& fleet, std::string_view name) {
   ClassUsage usage;
   for (std::size_t server = 1; server < fleet.Size(); ++server) {
@@ -71,8 +73,8 @@
   return usage;
 }
 
-// Guards against a flood of one priority that takes the others' guaranteed share or loses urgent
-// calls.
+// Guards against a flood of one priority that takes slot time from the guaranteed shares of the
+// others or causes calls within these shares to fail.
 void KeepsOtherPrioritiesServed(const FloodCase& row) {
   Fleet fleet({.servers = FrontedFleet(1 + kServers, kSlots)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
--- a/tests/integration/tst_pausedowner.cpp
+++ b/tests/integration/tst_pausedowner.cpp
@@ -16,7 +16,7 @@
 
 struct PauseCase {
   std::string_view name;
-  bool queue_before_pause;  // Else the requests reach the owner while it is paused.
+  bool queue_before_pause;  // Otherwise the requests are sent while the owner is paused.
   std::string_view method;
   std::string_view path;
 };
@@ -33,13 +33,13 @@
 
 std::string IdOf(std::size_t call) { return "paused-" + std::to_string(call); }
 
-// Guards against work that an owner runs after a pause although its caller has long been told that
-// it failed.
+// Guards against an owner that, after a pause of its process, runs requests whose deadline has
+// passed and whose callers have already received a failure.
 void RunsNoExpiredWork(const PauseCase& row) {
   Fleet fleet({.servers = FrontedFleet(2, 1), .deadline_ms = 60000});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   fleet.SetBackend(1, "hold=1");
-  // Takes the only slot until the backend server is released.
+  // Occupies the only slot until the backend server stops holding calls.
   bool blocker_ended = false;
   fleet.Send(0, MakeRequest("GET", "/page?ms=0", {{"X-Test-Id", "blocker"}}),
              [&](const HttpAnswer&) { blocker_ended = true; });
@@ -73,7 +73,7 @@
   fleet.SetBackend(1, "hold=0");
 
   CPPUNIT_ASSERT(WaitUntil([&] { return blocker_ended; }));
-  // Once the owner serves again and its queue is empty, nothing can run late.
+  // Once the owner serves again and its queue is empty, no expired request can run any more.
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitUntil([&] {
                            return fleet.Call(0, "GET", "/read").Outcome() == "answered" &&
                                   fleet.Status(1)["queued"].toInt() == 0;
--- a/tests/integration/tst_platformprogram.cpp
+++ b/tests/integration/tst_platformprogram.cpp
@@ -17,9 +17,10 @@
 namespace {
 
 constexpr std::chrono::milliseconds kExitTimeout{20000};
-constexpr std::chrono::milliseconds kLogTimeout{
-    5000};  // Lines are written by a thread of their own.
+// Log lines are written by a separate thread.
+constexpr std::chrono::milliseconds kLogTimeout{5000};
 
+// How often requests with this target ran on all instances.
 std::size_t CountRuns(PlatformFleet& fleet, std::string_view target) {
   std::size_t count = 0;
   for (std::size_t index = 0; index < PlatformFleet::kNodes; ++index) {
@@ -30,7 +31,7 @@
   return count;
 }
 
-// Guards against a request that is changed on its way, or an answer that is.
+// Guards against changing a request or its response in transit.
 void ForwardsRequestAndResponse(PlatformFleet& fleet) {
   const HttpAnswer response = fleet.Call(0, "POST", "/look/a?b=c", "body");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 200, response.status);
@@ -46,7 +47,7 @@
   CPPUNIT_ASSERT_EQUAL(404, fleet.Call(0, "GET", "/other/").status);
 }
 
-// Guards against a change of the configuration that does not take effect on all nodes.
+// Guards against a configuration change that does not take effect on all nodes.
 void AppliesConfigurationChange(PlatformFleet& fleet) {
   fleet.PutConfiguration(
       2, R"(,{"name":"new","hostname":"shop.test","prefix":"/new/","routeType":"safe",)"
@@ -56,7 +57,7 @@
   }
 }
 
-// Guards against new work for an instance that leaves.
+// Guards against sending new requests to a draining instance.
 void AvoidsDrainingInstance(PlatformFleet& fleet) {
   fleet.PutInstance(0, "draining");
   const auto is_served_by_other = [&] {
@@ -70,7 +71,7 @@
   for (int call = 0; call < 20; ++call) CPPUNIT_ASSERT(is_served_by_other());
 }
 
-// Guards against a store that takes the nodes with it when it goes down.
+// Guards against nodes that stop serving when the store is down.
 void ServesWithoutStore(PlatformFleet& fleet) {
   fleet.Store().SetMode(StandInStore::Mode::kAborting);
   for (int call = 0; call < 20; ++call) {
@@ -78,15 +79,15 @@
   }
 }
 
-// Guards against a second run of a request that must not run twice, and a refusal that says that it
-// did not run.
+// Guards against running an unsafe request twice when its response is lost, and against a response
+// that claims that it did not run.
 void RunsUnsafeRequestOnce(PlatformFleet& fleet) {
   const HttpAnswer response = fleet.Call(0, "POST", "/lost/x");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 502, response.status);
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, CountRuns(fleet, "/lost/x"));
 }
 
-// Guards against a node that cuts requests when it is stopped, or takes new callers until the end.
+// Guards against a node that aborts requests when it is stopped, or reports ready until it exits.
 void StopsWithoutAbortingRequests(PlatformFleet& fleet) {
   int answered = 0;
   for (int call = 0; call < 4; ++call) {
@@ -102,7 +103,7 @@
   CPPUNIT_ASSERT_EQUAL(0, fleet.Node(0).ExitStatus());
 }
 
-// Guards against a node that does not find its place again after its loss.
+// Guards against a node that does not rejoin the fleet after it was killed and restarted.
 void ServesAgainAfterKill(PlatformFleet& fleet) {
   fleet.Node(0).Kill();
   CPPUNIT_ASSERT_EQUAL(200, fleet.Call(1, "GET", "/look/beside").status);
@@ -110,7 +111,8 @@
   CPPUNIT_ASSERT(fleet.WaitUntilServing(0));
 }
 
-// Guards against a start without a configuration that refuses what the configuration allows.
+// Guards against a node that starts without a configuration and answers as if no rule matched: it
+// must answer 503 until it has read the configuration, and then serve.
 void RefusesUntilConfigured(PlatformFleet& fleet) {
   fleet.Node(0).Kill();
   fleet.Node(1).Kill();
@@ -126,7 +128,7 @@
   CPPUNIT_ASSERT(fleet.WaitUntilServing(0));
 }
 
-// The lines of one request in all nodes' output that have the event.
+// Returns the log lines of all nodes with this request id and event.
 std::vector<std::string> LinesOf(const PlatformFleet& fleet, std::string_view request_id,
                                  std::string_view event) {
   std::vector<std::string> lines;
@@ -139,7 +141,7 @@
   return lines;
 }
 
-// Waits until the log names the cause of a failed request: each of `facts` in one line of `event`.
+// Asserts that within kLogTimeout a log line with this request id and event contains all `fields`.
 void AssertLogged(const PlatformFleet& fleet, std::string_view request_id, std::string_view event,
                   const std::vector<std::string>& fields) {
   const auto is_logged = [&] {
@@ -150,12 +152,13 @@
       });
     });
   };
-  CPPUNIT_ASSERT_MESSAGE(
-      std::string(event) + " of " + std::string(request_id) + "\n" + fleet.Output(),
-      WaitUntil(is_logged, kLogTimeout));
+  CPPUNIT_ASSERT_MESSAGE(std::string(event) + " line expected for request " +
+                             std::string(request_id) + "\n" + fleet.Output(),
+                         WaitUntil(is_logged, kLogTimeout));
 }
 
-// From the id of a request that lost its answer to the cause, as docs/OPERATIONS.md shows it.
+// Checks that the log leads from the id of a request whose response was lost to the cause, by the
+// steps in docs/OPERATIONS.md.
 void LogExplainsLostResponse(PlatformFleet& fleet) {
   const HttpAnswer response = fleet.Call(0, "POST", "/lost/x");
   CPPUNIT_ASSERT_EQUAL(502, response.status);
@@ -165,10 +168,10 @@
   AssertLogged(fleet, id, "call_failed", {"outcome=unknown", "status=502"});
 }
 
-// From the id of a request that was refused under load to the cause. In a flood the lines on
-// failures are bounded, so some of the refused requests have none.
+// Checks that the log leads from the id of a request that was refused under overload to the cause.
+// The number of failure lines per second is limited, so some refused requests have none.
 void LogExplainsOverload(PlatformFleet& fleet) {
-  constexpr int kFloodCalls = 600;  // Ten seconds of work for both instances; callers wait three.
+  constexpr int kFloodCalls = 600;  // 10 s of work for both instances; callers wait 3 s.
   std::vector<std::string> refused;
   int ended = 0;
   for (int call = 0; call < kFloodCalls; ++call) {
@@ -188,7 +191,8 @@
   AssertLogged(fleet, *logged_id, "call_failed", {"outcome=not-run", "status=503"});
 }
 
-// From the id of a request that an old configuration refused to the version in force.
+// Checks that the log shows the configuration version in force for a request that it refused
+// because the version has no rule for it.
 void LogShowsConfigurationVersion(PlatformFleet& fleet) {
   CPPUNIT_ASSERT_EQUAL(404, fleet.Call(0, "GET", "/new/").status);
   AssertLogged(fleet, fleet.LastRequestId(), "call_failed", {"reason=no_rule", "version=1"});
@@ -214,7 +218,8 @@
     PlatformCase{"log tells the version in force", LogShowsConfigurationVersion},
 };
 
-// The whole program for the users' platform against stand-ins of the store and of instances.
+// Runs processes of the platform's program against stand-ins for the metadata store and for service
+// instances.
 void TestPlatformProgram(const PlatformCase& row) {
   PlatformFleet fleet;
   CPPUNIT_ASSERT_MESSAGE(fleet.Output(), fleet.Start());
--- a/tests/integration/tst_slowcallers.cpp
+++ b/tests/integration/tst_slowcallers.cpp
@@ -19,10 +19,10 @@
 constexpr std::chrono::milliseconds kByteInterval{1000};
 constexpr std::string_view kRequestHead =
     "GET /read?ms=0 HTTP/1.1\r\nHost: shop.test\r\nX-Slow: 0123456789\r\n\r\n";
-// The share of a node's memory that CONTRIBUTING.md allows.
+// Limit for the resident memory of a node process, 32 MiB, which is set in CONTRIBUTING.md.
 constexpr double kMemoryLimitBytes = 32.0 * 1024.0 * 1024.0;
 
-// Callers that send a request's head byte by byte and connect anew when they are cut off.
+// Callers that send a request head byte by byte and reconnect when the node closes the connection.
 class SlowCallers : public QObject {
  public:
   SlowCallers(const Endpoint& node, std::size_t count, std::size_t first_bytes)
@@ -63,8 +63,8 @@
 struct SlowCase {
   std::string_view name;
   std::size_t callers;
-  std::size_t first_bytes;  // Sent at once; the rest follows at one byte a second.
-  std::string_view path;    // Of the callers with whole requests.
+  std::size_t first_bytes;  // Sent immediately; the rest follows at one byte per second.
+  std::string_view path;    // Target of the callers that send complete requests.
 };
 
 constexpr std::array kCases{
@@ -73,8 +73,8 @@
     SlowCase{"most of a head at once", 2000, 40, "/read?ms=0"},
 };
 
-// Guards against callers that hold a node's connections without ever sending a whole request head:
-// others must be served throughout, and the node must not grow past its share of memory.
+// Guards against callers that occupy a node's connections without ever sending a complete request
+// head: other callers must be served all the time, and the node must stay within its memory limit.
 void CompleteRequestsAreServed(const SlowCase& row) {
   constexpr int kCalls = 60;
   constexpr std::chrono::milliseconds kCallInterval{100};
