--- a/tests/integration/tst_configuration.cpp
+++ b/tests/integration/tst_configuration.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// A declaration that has this path in place of /page, so that the version in force shows.
+// Returns the fleet's declaration with the path /page replaced by `prefix`, so that a call to this
+// path shows whether the version is in force.
 std::string DeclarationWithPath(const Fleet& fleet, std::string_view prefix) {
   std::string text = fleet.Declaration();
   constexpr std::string_view kReplacedPath = "\"/page\"";
@@ -21,6 +22,7 @@
   return text.replace(position, kReplacedPath.size(), "\"" + std::string(prefix) + "\"");
 }
 
+// The configuration version in force on a node.
 int VersionOf(Fleet& fleet, std::size_t index) {
   return fleet.Status(index)["configuration_version"].toInt();
 }
@@ -45,7 +47,8 @@
                                response.Outcome());
 }
 
-// Guards against a node that cannot start, or forgets its rules, while the service is down.
+// Guards against a node that cannot start, or loses its rules, while the configuration service is
+// down.
 void RestartsWhileServiceIsDown(Fleet& fleet) {
   PutAndWaitForVersion(fleet, "/second", 2);
   CPPUNIT_ASSERT(fleet.ControlPlatform("POST", "/control/down?on=1"));
@@ -58,10 +61,11 @@
   PutAndWaitForVersion(fleet, "/third", 3);
 }
 
-// Guards against a restarted node that takes an older version from a stale replica.
+// Guards against a restarted node that accepts an older version from a stale replica of the
+// configuration service.
 void IgnoresAStaleReplica(Fleet& fleet) {
   PutAndWaitForVersion(fleet, "/second", 2);
-  // The replica now serves version 1 again, as one that lags behind.
+  // The service returns version 1 again, as a replica that lags behind would.
   CPPUNIT_ASSERT(fleet.PutConfiguration(DeclarationWithPath(fleet, "/page"), 1));
   fleet.RestartNode(1);
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.WaitUntilReady(1));
@@ -70,11 +74,12 @@
   AssertServes(fleet, 1, "/second");
 }
 
-// Guards against an invalid value that comes into force or ends the readers.
+// Guards against an invalid value that comes into force or stops the nodes that read the
+// configuration service from reading later values.
 void RefusesAnInvalidValue(Fleet& fleet) {
   PutAndWaitForVersion(fleet, "/second", 2);
   CPPUNIT_ASSERT(fleet.PutConfiguration("{\"format\": 1, \"colour\": 2}", 3));
-  // The readers have taken the value once a node has noted that it refused it.
+  // A node that logs the refusal has read the value.
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitUntil([&] {
                            return fleet.NodeOutput().find("unknown_field") != std::string::npos ||
                                   fleet.NodeOutput().find("missing_field") != std::string::npos;
--- a/tests/integration/tst_distribution.cpp
+++ b/tests/integration/tst_distribution.cpp
@@ -43,6 +43,7 @@
 
 int VersionInForce(Fleet& fleet) { return fleet.Status(0)["configuration_version"].toInt(); }
 
+// The state of a server as `node` sees it; empty if the node does not list it.
 QString StateOf(Fleet& fleet, std::size_t node, const QString& server) {
   for (const QJsonValue value : fleet.Status(node)["peers"].toArray()) {
     const QJsonObject peer = value.toObject();
@@ -51,14 +52,15 @@
   return {};
 }
 
-// Guards against nodes that do not learn of a change, in particular those that are no readers.
+// Guards against nodes that do not receive a change, in particular those that do not read the
+// configuration service themselves.
 void ChangeReachesAll(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   CPPUNIT_ASSERT(fleet.PutConfiguration(fleet.Declaration(), version + 1));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersionOnAll(fleet, version + 1));
 }
 
-// Guards against an invalid declaration that comes into force or stops later ones.
+// Guards against an invalid declaration that comes into force or prevents later ones from doing so.
 void InvalidChangeIsRefused(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   CPPUNIT_ASSERT(fleet.PutConfiguration(R"({"format": 1})", version + 1));
@@ -76,12 +78,12 @@
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersionOnAll(fleet, version + 2));
 }
 
-// Guards against a restarted node that goes back to the older version of a stale service.
+// Guards against a restarted node that reverts to the older version of a stale service.
 void RestartWithStaleService(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   CPPUNIT_ASSERT(fleet.PutConfiguration(fleet.Declaration(), version + 5));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersionOnAll(fleet, version + 5));
-  // The service goes back to what it had before, as a stale replica would.
+  // The service returns the earlier version again, as a stale replica would.
   CPPUNIT_ASSERT(fleet.PutConfiguration(fleet.Declaration(), version));
   fleet.Node(2).Kill();
   fleet.RestartNode(2);
@@ -90,7 +92,8 @@
                                fleet.Status(2)["configuration_version"].toInt());
 }
 
-// Guards against a fleet that depends on the configuration service while it is down.
+// Guards against a fleet that cannot serve, or restart a node, while the configuration service is
+// down.
 void RestartWhileServiceIsDown(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   CPPUNIT_ASSERT(fleet.ControlPlatform("POST", "/control/down?on=1"));
@@ -101,15 +104,15 @@
   CPPUNIT_ASSERT(fleet.Call(0, "GET", "/read").Outcome() == "answered");
   fleet.Node(2).Kill();
   fleet.RestartNode(2);
-  // The restarted node cannot read the service; its peers dial it and hand the version on.
+  // The restarted node cannot read the service; its peers connect to it and send it the version.
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersion(fleet, 2, version));
   CPPUNIT_ASSERT(fleet.ControlPlatform("POST", "/control/down?on=0"));
   CPPUNIT_ASSERT(fleet.PutConfiguration(fleet.Declaration(), version + 1));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersionOnAll(fleet, version + 1));
 }
 
-// Guards against followers that never see the VM list, and against an empty list that takes the
-// fleet out of work.
+// Guards against nodes that do not receive the VM list from the node that reads it, and against an
+// empty list that takes all servers out of service.
 void VmListDeterminesLeaving(Fleet& fleet) {
   CPPUNIT_ASSERT(fleet.PutVms(1001, {"s2"}));
   for (std::size_t node = 0; node < fleet.Size(); ++node) {
@@ -128,7 +131,7 @@
   }
 }
 
-// Guards against a server that stays out of work after its backend server was replaced.
+// Guards against a server that stays out of service after its draining backend server was replaced.
 void RestartedBackendServesAgain(Fleet& fleet) {
   fleet.SetBackend(1, "drain=1");
   for (std::size_t node = 0; node < fleet.Size(); ++node) {
@@ -137,7 +140,7 @@
   }
   fleet.Backend(1).Kill();
   const double probes = fleet.Metric(1, "damaskhollow_probes_total");
-  // The refused probe shows that the old process has ended.
+  // A probe whose connection is refused shows that the old process has exited.
   CPPUNIT_ASSERT(
       WaitUntil([&] { return fleet.Metric(1, "damaskhollow_probes_total") >= probes + 2.0; }));
   fleet.RestartBackend(1);
@@ -147,8 +150,8 @@
   }
 }
 
-// Guards against a pause after which the node never serves again or uses its old view: while it is
-// paused, a drain and a new version pass it by.
+// Guards against a node that does not serve again after a pause of its process, or serves from the
+// state before the pause: it misses a drain and a new configuration version meanwhile.
 void PausedNodeCatchesUp(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   fleet.Node(3).Signal(SIGSTOP);
@@ -156,7 +159,7 @@
   CPPUNIT_ASSERT(fleet.PutConfiguration(fleet.Declaration(), version + 1));
   CPPUNIT_ASSERT(WaitForVersion(fleet, 0, version + 1));
   CPPUNIT_ASSERT(WaitUntil([&] { return StateOf(fleet, 0, "s2") == "draining"; }));
-  // A gap of over a second counts as a pause.
+  // A node detects a pause if its process did not run for more than 1 s.
   RunFor(std::chrono::milliseconds(1500));
   fleet.Node(3).Signal(SIGCONT);
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersion(fleet, 3, version + 1));
--- a/tests/integration/tst_mixedanswers.cpp
+++ b/tests/integration/tst_mixedanswers.cpp
@@ -20,7 +20,7 @@
   std::uint64_t seed;
   std::string_view peer_faults;
   std::string_view backend_faults;
-  bool hold_links;  // Answers are held and released late, over and over.
+  bool hold_links;  // Messages on links are repeatedly held back and released late.
 };
 
 constexpr std::array kCases{
@@ -31,13 +31,13 @@
 constexpr std::size_t kCalls = 150;
 constexpr std::array<std::size_t, 8> kSizes{0, 1, 100, 5000, 65536, 65537, 300000, 2000000};
 constexpr int kMaxServiceMs = 60;
-// Shorter than the time after which a link counts as silent.
+// Shorter than the time after which a link is treated as silent.
 constexpr std::chrono::milliseconds kHoldTime{100};
 
 std::string IdOf(std::size_t call) { return "mixed-" + std::to_string(call); }
 
-// Guards against callers that get another call's answer, or a part of their own, when many answers
-// are under way at once and arrive late.
+// Guards against callers that receive the response of another call, or a truncated one, when many
+// responses are in transit at once and arrive late.
 void EachCallerGetsItsOwnResponse(const MixedCase& row) {
   Fleet fleet({.servers = SmallFleet(3, 8),
                .proxy_peers = true,
--- a/tests/integration/tst_regioncut.cpp
+++ b/tests/integration/tst_regioncut.cpp
@@ -44,8 +44,8 @@
   return servers;
 }
 
-// Guards against a side that depends on the other region, and against a surge across the paid link
-// when it comes back.
+// Guards against a region that cannot serve without the other one, and against a burst of traffic
+// on the paid link when it works again.
 void EachRegionServesItself(const CutCase& row) {
   Fleet fleet({.servers = TwoRegions(),
                .proxy_peers = true,
@@ -81,11 +81,12 @@
                            static_cast<double>(counts.Count("answered")) >=
                                (1.0 - kTolerance) * static_cast<double>(counts.sent));
   }
-  // Both regions may spend their budget, and one second of it may have been saved up.
+  // Each region may use its full budget, and up to one second of it that was accumulated before.
   const double allowed = 2.0 * (kPaidBytesPerSecond + kMeasuringBytesPerSecond) *
                          (healed_s.count() + 1.0) * (1.0 + kTolerance);
-  CPPUNIT_ASSERT_MESSAGE(std::to_string(bytes) + " of " + std::to_string(allowed),
-                         static_cast<double>(bytes) <= allowed);
+  CPPUNIT_ASSERT_MESSAGE(
+      std::to_string(bytes) + " bytes between regions, allowed: " + std::to_string(allowed),
+      static_cast<double>(bytes) <= allowed);
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), ledger.Finish());
   ledger.CheckAll();
   for (std::size_t index = 0; index < fleet.Size(); ++index) {
--- a/tests/integration/tst_resentrequest.cpp
+++ b/tests/integration/tst_resentrequest.cpp
@@ -14,21 +14,23 @@
 
 namespace {
 
+// A request id that is created now.
 std::string NewRequestId(std::string_view token) {
   return std::to_string(WallNow().time_since_epoch().count()) + "-" + std::string(token);
 }
 
-// What happened to the first send when the second one comes.
+// The state of the first send, or of its home, when the request is sent a second time. The home is
+// the node that ensures that a request id runs at most once.
 enum class FirstSendState { kRunning, kAnswered, kHomeRestarted, kHomeKilled };
 
 struct ResendCase {
   std::string_view name;
   FirstSendState first;
-  std::size_t bytes;         // Of the answer.
+  std::size_t bytes;         // Size of the response body.
   std::string_view outcome;  // Of the second send.
   std::string_view reason;
-  std::string_view
-      alternative_reason;  // Allowed as well, by another node that is asked; may be empty.
+  // Also accepted, as another node that is queried may give it; may be empty.
+  std::string_view alternative_reason;
 };
 
 constexpr std::array kCases{
@@ -49,6 +51,7 @@
                     {{"X-Test-Id", id}, {"Damaskhollow-Request-Id", id}});
 }
 
+// The index of the server that ran the call.
 std::size_t ServedByIndex(const HttpAnswer& response) {
   return std::stoul(response.Header("Damaskhollow-Served-By").substr(1)) - 1;
 }
@@ -58,11 +61,12 @@
   return peers.contains(QString::fromStdString(peer));
 }
 
-// Guards against a request that runs twice because its caller sent it again through another node.
+// Guards against a request that runs twice because its caller resends it through another node.
 void RunsAtMostOnce(const ResendCase& row) {
   Fleet fleet({.servers = SmallFleet(4)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  // Homes refuse ids created before they had run for a while, so this waits for the youngest node.
+  // A home refuses request ids created before it had run for some time, so this waits until the
+  // node that was started last accepts them.
   for (int call = 0; call < 8; ++call) {
     CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitUntil([&] {
                              return SendBooking(fleet, 0, NewRequestId("warm"), 0).Outcome() ==
@@ -94,13 +98,14 @@
     }
     if (row.first == FirstSendState::kHomeKilled) {
       fleet.Node(home).Kill();
-      // A request that is sent just before the loss is noticed is in doubt until its deadline.
+      // A request that is sent before the loss is detected stays unresolved until its deadline.
       CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitUntil([&] {
                                return !IsLinkedTo(fleet, ingress, "s" + std::to_string(home + 1));
                              }));
     }
   }
-  // A home whose link was just lost counts as unreachable until the link is renewed or given up.
+  // A home whose link was just lost is reported as unreachable until the link is re-established or
+  // abandoned.
   HttpAnswer second;
   CPPUNIT_ASSERT_MESSAGE(
       fleet.NodeOutput(), WaitUntil([&] {
@@ -138,7 +143,8 @@
     InvalidIdCase{"far future", "99999999999999-booking"},
 };
 
-// Guards against ids that no home could judge.
+// Guards against accepting a request id whose creation time is missing or invalid: a home cannot
+// decide whether such a request may already have run.
 void RefusesInvalidId(const InvalidIdCase& row) {
   Fleet fleet({.servers = SmallFleet(1)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
--- a/tests/integration/tst_silentlink.cpp
+++ b/tests/integration/tst_silentlink.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// When the open connections between ingress and owners begin to swallow all bytes.
+// When the open connections between ingress and owners begin to discard all bytes.
 enum class SilenceStart { kBeforeRequest, kWhileRunning, kAfterResponse };
 
 struct SilentCase {
@@ -22,7 +22,7 @@
   SilenceStart silence_start;
   std::string_view method;
   std::string_view path;
-  std::size_t bytes;  // Of the answer.
+  std::size_t bytes;  // Size of the response body.
   bool must_be_answered;
 };
 
@@ -54,7 +54,7 @@
 
   void Run() {
     CPPUNIT_ASSERT_MESSAGE(m_fleet.NodeOutput(), m_fleet.Start());
-    // A call each way proves that the links carry calls.
+    // An answered call shows that a link carries data both ways.
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), m_fleet.Call(0, "GET", "/read").Outcome());
     m_fleet.SetBackends("hold=1");
     if (m_row.silence_start == SilenceStart::kBeforeRequest) SilenceLinks();
@@ -91,7 +91,7 @@
 
   void SilenceLinks() { SetOwnerLinks("silence=1"); }
 
-  // Keeps the answers on the link until all have been given, and then discards them.
+  // Holds the responses on the links until all calls have completed, and then discards them.
   void DiscardResponses() {
     CPPUNIT_ASSERT(WaitUntil([&] { return CountRunning() == kCalls; }));
     SetOwnerLinks("hold=down");
@@ -134,8 +134,8 @@
   std::size_t m_ended = 0;
 };
 
-// Guards against calls that are lost, run twice or answered wrongly when open connections go silent
-// while new ones work.
+// Guards against calls that are lost, run twice or get a wrong response when open connections stop
+// carrying data while new ones work.
 void SurvivesSilentLink(const SilentCase& row) { SilentLinkRun(row).Run(); }
 
 const TableTest<SilentCase> registration("SilentLink", kCases, &SurvivesSilentLink);
--- a/tests/integration/tst_soak.cpp
+++ b/tests/integration/tst_soak.cpp
@@ -20,13 +20,13 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kServers = 4;
-// Callers connect to the first two nodes, which live through a soak.
+// Callers connect to the first two nodes, which keep running during the test.
 constexpr std::size_t kIngresses = 2;
 constexpr int kRounds = 6;
 constexpr milliseconds kMinRoundTime{200};
 constexpr int kRoundSpreadMs = 900;
 
-// A fault at one of the other nodes, and what ends it.
+// A fault at one of the other nodes, with the functions that start and end it.
 struct Fault {
   std::string_view name;
   void (*begin)(Fleet&, std::size_t node);
@@ -49,7 +49,7 @@
               if (peer != node) fleet.SetPeerLinks(node, peer, "silence=1");
             }
           },
-          [](Fleet&, std::size_t) {}},  // They stay silent; new ones work.
+          [](Fleet&, std::size_t) {}},  // Silenced connections stay so; new ones work.
     Fault{"region cut", [](Fleet& fleet, std::size_t) { fleet.SetRegionLinks("blackhole=1"); },
           [](Fleet& fleet, std::size_t) { fleet.SetRegionLinks("blackhole=0"); }},
     Fault{"configuration service down",
@@ -69,9 +69,10 @@
 constexpr std::array kCases{SoakCase{"seed 11", 11}, SoakCase{"seed 12", 12},
                             SoakCase{"seed 13", 13}};
 
-// Faults in an order and for times that the seed draws, while calls go on. Guards against promises
-// that hold in each fault but not in the next one's wake: nothing runs twice, no caller is told
-// something untrue, and the fleet serves again afterwards.
+// Injects faults in a random order and of random duration while calls are sent. Guards against
+// guarantees that hold during a single fault but not when another follows it: no non-idempotent
+// request runs twice, every outcome that a caller receives is true, and the fleet serves again
+// afterwards.
 void KeepsGuarantees(const SoakCase& row) {
   FleetOptions options;
   options.servers = SmallFleet(kServers, 4);
--- a/tests/integration/tst_twofaults.cpp
+++ b/tests/integration/tst_twofaults.cpp
@@ -21,15 +21,15 @@
 constexpr std::chrono::milliseconds kFaultTime{2000};
 constexpr std::size_t kServers = 4;
 
-// Two faults at once, and what ends them.
+// Two simultaneous faults, with the functions that start and end them.
 struct TwoFaultsCase {
   std::string_view name;
   std::uint64_t seed;
   bool with_platform;
   void (*begin)(Fleet&);
   void (*end)(Fleet&);
-  double flood_per_second;                  // Of the least urgent.
-  std::vector<std::size_t> (*ingresses)();  // Nodes that live through the faults.
+  double flood_per_second;                  // Rate of calls of the lowest priority.
+  std::vector<std::size_t> (*ingresses)();  // Nodes that keep running during the faults.
 };
 
 std::vector<std::size_t> AllNodes() { return {0, 1, 2, 3}; }
@@ -98,8 +98,9 @@
   return options;
 }
 
-// Guards against promises that hold in each fault but not in two at once: nothing runs twice, no
-// caller is told something untrue, and the fleet serves again afterwards.
+// Guards against guarantees that hold during each fault but not during two at once: no
+// non-idempotent request runs twice, every outcome that a caller receives is true, and the fleet
+// serves again afterwards.
 void KeepsGuarantees(const TwoFaultsCase& row) {
   Fleet fleet(OptionsOf(row));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
