--- a/tests/integration/tst_badinput.cpp
+++ b/tests/integration/tst_badinput.cpp
@@ -29,14 +29,14 @@
 
 void AssertServes(Fleet& fleet) {
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Node(0).IsRunning());
-  const HttpAnswer answer = fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
-  CPPUNIT_ASSERT_MESSAGE(answer.Describe(), answer.body == PatternBody("after", 10));
+  const HttpAnswer response = fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
+  CPPUNIT_ASSERT_MESSAGE(response.Describe(), response.body == PatternBody("after", 10));
 }
 
-// A request that must be refused without running.
+// A request that must be refused without being run.
 struct RefusedCase {
   std::string_view name;
-  std::string_view request;  // @H stands for a long header value, @B for a body above the limit.
+  std::string_view request;  // @H: a long header value; @B: a body above the limit.
   std::string_view status;
   std::string_view reason;
 };
@@ -96,25 +96,27 @@
                 "depth_exceeded"},
 };
 
-std::string Filled(std::string_view request) {
+// Replaces @H and @B in a request of the table by text of the intended length.
+std::string ExpandPlaceholders(std::string_view request) {
   std::string text(request);
-  const auto fill = [&text](std::string_view mark, std::size_t bytes) {
-    const std::size_t position = text.find(mark);
+  const auto expand = [&text](std::string_view placeholder, std::size_t bytes) {
+    const std::size_t position = text.find(placeholder);
     if (position != std::string::npos) {
-      text.replace(position, mark.size(), std::string(bytes, 'x'));
+      text.replace(position, placeholder.size(), std::string(bytes, 'x'));
     }
   };
-  fill("@H", kHeaderBytes);
-  fill("@B", kBodyLimitBytes + 1);
+  expand("@H", kHeaderBytes);
+  expand("@B", kBodyLimitBytes + 1);
   return text;
 }
 
-// Guards against input that runs, crashes the node or gets a misleading status.
+// Guards against invalid requests that are run, crash the node or are answered with a misleading
+// status.
 void RefusesBadInput(const RefusedCase& row) {
   Fleet fleet(OneNode());
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   RawClient client(fleet.Caller(0));
-  client.Send(Filled(row.request));
+  client.Send(ExpandPlaceholders(row.request));
   const bool is_answered = client.WaitFor("\r\n\r\n");
   const std::string& received = client.Received();
   CPPUNIT_ASSERT_MESSAGE(received, is_answered);
@@ -129,14 +131,15 @@
 
 const TableTest<RefusedCase> refused_registration("BadInput", kRefusedCases, &RefusesBadInput);
 
-// How callers misbehave during well-formed requests.
-struct MannerCase {
+// An unusual behaviour of callers or peers that a node must survive.
+struct BehaviourCase {
   std::string_view name;
   void (*run)(Fleet&);
 };
 
-// Guards against answers in the order of completion: pipelined ones must keep the requests' order.
-void AnswersPipelinedInOrder(Fleet& fleet) {
+// Guards against sending pipelined responses in the order of completion instead of the order of the
+// requests.
+void RespondsInRequestOrder(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   std::string requests;
   for (const std::string_view delay_ms : {"200", "100", "0"}) {
@@ -152,10 +155,10 @@
   CPPUNIT_ASSERT(first < second && second < third);
 }
 
-// A connection whose caller never reads.
-class DeafCaller {
+// A connection of a caller that sends requests but never reads responses.
+class NonReadingCaller {
  public:
-  explicit DeafCaller(const Endpoint& node) : m_socket(::socket(AF_INET, SOCK_STREAM, 0)) {
+  explicit NonReadingCaller(const Endpoint& node) : m_socket(::socket(AF_INET, SOCK_STREAM, 0)) {
     constexpr int kSmallBuffer = 4096;
     ::setsockopt(m_socket, SOL_SOCKET, SO_RCVBUF, &kSmallBuffer, sizeof(kSmallBuffer));
     sockaddr_in address{};
@@ -165,9 +168,9 @@
     const auto* generic = reinterpret_cast<const sockaddr*>(&address);
     CPPUNIT_ASSERT_EQUAL(0, ::connect(m_socket, generic, sizeof(address)));
   }
-  ~DeafCaller() { ::close(m_socket); }
-  DeafCaller(const DeafCaller&) = delete;
-  DeafCaller& operator=(const DeafCaller&) = delete;
+  ~NonReadingCaller() { ::close(m_socket); }
+  NonReadingCaller(const NonReadingCaller&) = delete;
+  NonReadingCaller& operator=(const NonReadingCaller&) = delete;
 
   void Send(const std::string& bytes) const {
     CPPUNIT_ASSERT(::send(m_socket, bytes.data(), bytes.size(), 0) ==
@@ -178,6 +181,7 @@
   const int m_socket;
 };
 
+// Guards against rejecting or repeating a request that arrives byte by byte.
 void AcceptsASlowSender(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   const std::string request =
@@ -191,7 +195,8 @@
   CPPUNIT_ASSERT_EQUAL(1, fleet.RunsOf("slow").completed);
 }
 
-void DropsATruncatedChunk(Fleet& fleet) {
+// Guards against running a request whose connection is aborted in the middle of a chunk.
+void DiscardsTruncatedChunk(Fleet& fleet) {
   RawClient client(fleet.Caller(0));
   client.Send(
       "POST /book HTTP/1.1\r\nHost: shop.test\r\nX-Test-Id: truncated\r\n"
@@ -203,14 +208,14 @@
   CPPUNIT_ASSERT_EQUAL(0, fleet.RunsOf("truncated").ran);
 }
 
-// Guards against a slot that stays taken by a call whose caller has left, and against harm to the
-// calls beside it.
-void FreesTheSlotOfACallerThatLeaves(Fleet& fleet) {
+// Guards against a slot that stays occupied by an idempotent call whose caller has disconnected,
+// and against side effects on concurrent calls of other callers.
+void FreesSlotWhenCallerDisconnects(Fleet& fleet) {
   bool other_ended = false;
   HttpAnswer other;
   fleet.Send(0, MakeRequest("GET", "/read?ms=500&bytes=100", {{"X-Test-Id", "other"}}),
-             [&](const HttpAnswer& answer) {
-               other = answer;
+             [&](const HttpAnswer& response) {
+               other = response;
                other_ended = true;
              });
   RawClient leaving(fleet.Caller(0));
@@ -223,8 +228,8 @@
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.Status(0)["in_flight"].toInt() == 0; }));
 }
 
-// Guards against a non-idempotent request that is cut because its caller left.
-void FinishesWhatMayNotBeCut(Fleet& fleet) {
+// Guards against aborting a non-idempotent request because its caller has disconnected.
+void FinishesNonIdempotentRequest(Fleet& fleet) {
   RawClient leaving(fleet.Caller(0));
   leaving.Send(
       "POST /book?ms=300 HTTP/1.1\r\nHost: shop.test\r\nX-Test-Id: booked\r\n"
@@ -235,6 +240,7 @@
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.Status(0)["in_flight"].toInt() == 0; }));
 }
 
+// Guards against a node that fails on bytes on its peer port that do not follow the peer protocol.
 void SurvivesGarbageFromAPeer(Fleet& fleet) {
   for (const std::string_view bytes : {"GET / HTTP/1.1\r\n\r\n", "\xff\xff\xff\xff\xff\xff\xff\xff",
                                        "\xff\x00\x00\x00\x00\x00\x00\x00\x01\x7f\x03\x00NULL"}) {
@@ -246,8 +252,8 @@
   }
 }
 
-// Guards against a request body that is kept in memory beyond the limit.
-void KeepsMemoryDuringAHugeUpload(Fleet& fleet) {
+// Guards against buffering more of a request body than the body limit allows.
+void LimitsMemoryDuringHugeUpload(Fleet& fleet) {
   constexpr std::size_t kUploadBytes = 100UL * 1000UL * 1000UL;
   constexpr std::size_t kMemoryLimitKilobytes = 32UL * 1024UL;
   RawClient client(fleet.Caller(0));
@@ -263,27 +269,27 @@
   CPPUNIT_ASSERT_MESSAGE(std::to_string(peak), peak > 0 && peak < kMemoryLimitKilobytes);
 }
 
-constexpr std::array kMannerCases{
-    MannerCase{"pipelined requests are answered in order", &AnswersPipelinedInOrder},
-    MannerCase{"slow sender", &AcceptsASlowSender},
-    MannerCase{"truncated chunk", &DropsATruncatedChunk},
-    MannerCase{"caller leaves during an idempotent request", &FreesTheSlotOfACallerThatLeaves},
-    MannerCase{"caller leaves during another request", &FinishesWhatMayNotBeCut},
-    MannerCase{"garbage on the peer port", &SurvivesGarbageFromAPeer},
-    MannerCase{"body of 100 MB", &KeepsMemoryDuringAHugeUpload},
+constexpr std::array kBehaviourCases{
+    BehaviourCase{"pipelined requests are answered in order", &RespondsInRequestOrder},
+    BehaviourCase{"slow sender", &AcceptsASlowSender},
+    BehaviourCase{"truncated chunk", &DiscardsTruncatedChunk},
+    BehaviourCase{"caller leaves during an idempotent request", &FreesSlotWhenCallerDisconnects},
+    BehaviourCase{"caller leaves during another request", &FinishesNonIdempotentRequest},
+    BehaviourCase{"garbage on the peer port", &SurvivesGarbageFromAPeer},
+    BehaviourCase{"body of 100 MB", &LimitsMemoryDuringHugeUpload},
 };
 
-void SurvivesManners(const MannerCase& row) {
+void SurvivesCallerBehaviour(const BehaviourCase& row) {
   Fleet fleet(OneNode());
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   row.run(fleet);
   AssertServes(fleet);
 }
 
-// What keeps the answers of one connection from being finished in time.
+// Why the responses on one connection are not sent completely before their deadlines.
 struct LateCase {
   std::string_view name;
-  bool owner_stands_still;  // Otherwise the caller alone is slow.
+  bool owner_is_paused;  // Otherwise only the caller is slow.
 };
 
 constexpr std::array kLateCases{
@@ -291,12 +297,13 @@
     LateCase{"caller does not read, owner stands still", true},
 };
 
-// Guards against an answer that breaks off and takes with it the node, as those behind it on the
-// same connection are late at the same moment.
-void EndsLateAnswersOfOneConnection(const LateCase& row) {
+// Guards against a crash of the node when it aborts a partly sent response at its deadline while
+// the pipelined responses behind it on the same connection reach their deadlines at the same
+// moment.
+void EndsLateResponsesOfOneConnection(const LateCase& row) {
   Fleet fleet({.servers = FrontedFleet(2)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  const DeafCaller caller(fleet.Caller(0));
+  const NonReadingCaller caller(fleet.Caller(0));
   std::string requests;
   for (const std::string_view id : {"late-1", "late-2"}) {
     requests += "GET /read?ms=0&bytes=20000000 HTTP/1.1\r\nHost: shop.test\r\nX-Test-Id: " +
@@ -306,7 +313,7 @@
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.RunsOf("late-2").ran == 1; }));
   CPPUNIT_ASSERT(
       WaitUntil([&] { return fleet.Metric(0, "damaskhollow_caller_connections") == 1; }));
-  if (row.owner_stands_still) fleet.Node(1).Signal(SIGSTOP);
+  if (row.owner_is_paused) fleet.Node(1).Signal(SIGSTOP);
   CPPUNIT_ASSERT(
       WaitUntil([&] { return fleet.Metric(0, "damaskhollow_caller_connections") == 0; }));
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Node(0).IsRunning());
@@ -314,15 +321,16 @@
 }
 
 const TableTest<LateCase> late_registration("LateAnswers", kLateCases,
-                                            &EndsLateAnswersOfOneConnection);
+                                            &EndsLateResponsesOfOneConnection);
 
-const TableTest<MannerCase> manner_registration("CallerManners", kMannerCases, &SurvivesManners);
+const TableTest<BehaviourCase> behaviour_registration("CallerManners", kBehaviourCases,
+                                                      &SurvivesCallerBehaviour);
 
-// A start that must fail, with what the program says about it.
+// A start that must fail, with the exit status and a part of the error message.
 struct StartCase {
   std::string_view name;
   std::string_view argument;     // Added to a valid command line.
-  std::string_view declaration;  // In place of the valid one if not empty; @none for no file.
+  std::string_view declaration;  // Replaces the valid one unless empty; @none: no file.
   int exit_status;
   std::string_view message;
 };
@@ -338,7 +346,7 @@
     StartCase{"declaration file is missing", "", "@none", 1, "file_unreadable"},
 };
 
-// Guards against a node that starts with settings or rules that it does not understand.
+// Guards against a node that starts with invalid settings or an invalid declaration.
 void RefusesToStart(const StartCase& row) {
   FleetOptions options = OneNode();
   if (!row.argument.empty()) options.node_arguments.emplace_back(row.argument);
--- a/tests/integration/tst_crowdedingress.cpp
+++ b/tests/integration/tst_crowdedingress.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-// What fills the caller connections of a node.
+// The connections that use up a node's limit of caller connections.
 struct CrowdCase {
   std::string_view name;
-  std::string_view request;  // Sent on each connection of the crowd; empty for none.
+  std::string_view request;  // Sent on each of these connections; empty: nothing is sent.
 };
 
 constexpr std::array kCases{
@@ -27,9 +27,9 @@
     CrowdCase{"idle connections", ""},
 };
 
-// Guards against a node whose caller connections are all taken by less urgent work, so that an
-// urgent caller cannot even connect.
-void UrgentCallGetsIn(const CrowdCase& row) {
+// Guards against a node that cannot accept an urgent caller's connection because less urgent calls
+// or idle connections use up the limit of caller connections.
+void UrgentCallIsAccepted(const CrowdCase& row) {
   constexpr std::size_t kLimit = 40;
   Fleet fleet({.servers = SmallFleet(1),
                .node_arguments = {"--caller-connections=" + std::to_string(kLimit)}});
@@ -38,23 +38,23 @@
   constexpr std::string_view kOverloaded =
       "damaskhollow_refusals_total{reason=\"ingress_overloaded\"}";
   const bool has_calls = !row.request.empty();
-  const double before = fleet.Metric(0, kAccepted);
+  const double accepted_before = fleet.Metric(0, kAccepted);
   std::vector<std::unique_ptr<RawClient>> crowd;
   for (std::size_t count = 1; count <= kLimit + 2; ++count) {
     crowd.push_back(std::make_unique<RawClient>(fleet.Caller(0)));
     crowd.back()->Send(row.request);
-    // Connections without a request that was read would give way to the next ones.
+    // A connection whose request has not been read yet may be closed in favour of the next one.
     const auto is_read = [&] {
-      return fleet.Metric(0, kAccepted) >= before + static_cast<double>(count);
+      return fleet.Metric(0, kAccepted) >= accepted_before + static_cast<double>(count);
     };
     CPPUNIT_ASSERT(!has_calls || WaitUntil(is_read));
   }
   CPPUNIT_ASSERT(!has_calls || WaitUntil([&] { return fleet.Metric(0, kOverloaded) > 0; }));
-  const HttpAnswer answer = fleet.Call(0, "GET", "/read");
-  CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("answered"), answer.Outcome());
+  const HttpAnswer response = fleet.Call(0, "GET", "/read");
+  CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("answered"), response.Outcome());
 }
 
-const TableTest<CrowdCase> registration("CrowdedIngress", kCases, &UrgentCallGetsIn);
+const TableTest<CrowdCase> registration("CrowdedIngress", kCases, &UrgentCallIsAccepted);
 
 }  // namespace
 
