--- a/tests/auto/policy/admissionsimulation.cpp
+++ b/tests/auto/policy/admissionsimulation.cpp
@@ -33,7 +33,7 @@
 
   SimulationResult Run() {
     for (std::size_t index = 0; index < m_demands.size(); ++index) ScheduleArrival(index);
-    const TimePoint end = m_start + m_options.warm_up + m_options.measured;
+    const TimePoint end = m_start + m_options.warm_up + m_options.measurement_time;
     while (!m_events.empty() && std::get<0>(m_events.top()) < end) {
       const auto [time, is_arrival, value] = m_events.top();
       m_events.pop();
@@ -43,13 +43,15 @@
       } else {
         Complete(OwnedCallId{value});
       }
-      for (const OwnedCallId id : m_queue.TakeExpired(m_now)) Drop(id, &Served::expired);
+      for (const OwnedCallId id : m_queue.TakeExpired(m_now))
+        RemoveQueued(id, &PriorityStatistics::expired);
       for (const OwnedCallId id : m_queue.TakeDispatchable(m_now)) Dispatch(id);
     }
-    const double slot_time =
-        static_cast<double>(m_options.measured.count()) * static_cast<double>(m_options.slots);
+    const double slot_time = static_cast<double>(m_options.measurement_time.count()) *
+                             static_cast<double>(m_options.slots);
     m_result.used_slot_time /= slot_time;
-    for (Served& served : m_result.priorities) served.slot_time_share /= slot_time;
+    for (PriorityStatistics& statistics : m_result.priorities)
+      statistics.slot_time_share /= slot_time;
     return m_result;
   }
 
@@ -75,19 +77,20 @@
                              {},
                              m_now + demand.deadline,
                              Duration(static_cast<Duration::rep>(service_us))};
-    Served& served = m_result.priorities[index];
-    if (IsMeasured(m_now)) ++served.offered;
+    PriorityStatistics& statistics = m_result.priorities[index];
+    if (IsMeasured(m_now)) ++statistics.offered;
     const Admission admission = m_queue.Offer({id, index, call.deadline, 100}, m_now);
-    for (const OwnedCallId evicted : admission.evicted) Drop(evicted, &Served::evicted);
+    for (const OwnedCallId evicted : admission.evicted)
+      RemoveQueued(evicted, &PriorityStatistics::evicted);
     if (admission.refusal != Reason::kNone) {
-      if (IsMeasured(m_now)) ++served.refused;
+      if (IsMeasured(m_now)) ++statistics.refused;
       return;
     }
     m_calls[id] = call;
     ++m_queued[index];
   }
 
-  void Drop(OwnedCallId id, std::size_t Served::*counter) {
+  void RemoveQueued(OwnedCallId id, std::size_t PriorityStatistics::*counter) {
     const auto found = m_calls.find(id);
     --m_queued[found->second.priority];
     if (IsMeasured(m_now)) ++(m_result.priorities[found->second.priority].*counter);
@@ -99,8 +102,8 @@
     call.dispatched = m_now;
     --m_queued[call.priority];
     if (IsMeasured(m_now)) {
-      Served& served = m_result.priorities[call.priority];
-      served.longest_wait = std::max(served.longest_wait, m_now - call.arrived);
+      PriorityStatistics& statistics = m_result.priorities[call.priority];
+      statistics.longest_wait = std::max(statistics.longest_wait, m_now - call.arrived);
       for (std::size_t index = 0; index < call.priority; ++index) {
         if (m_queued[index] > 0) ++m_result.priorities[index].overtaken;
       }
@@ -113,11 +116,11 @@
     m_calls.erase(id);
     m_queue.NoteFinished(id, SlotResult::kCompleted, m_now);
     if (!IsMeasured(call.dispatched)) return;
-    Served& served = m_result.priorities[call.priority];
+    PriorityStatistics& statistics = m_result.priorities[call.priority];
     const auto slot_time = static_cast<double>(call.service_time.count());
-    served.slot_time_share += slot_time;
+    statistics.slot_time_share += slot_time;
     if (m_now > call.deadline) return;
-    ++served.answered;
+    ++statistics.answered;
     m_result.used_slot_time += slot_time;
   }
 
--- a/tests/auto/policy/admissionsimulation.h
+++ b/tests/auto/policy/admissionsimulation.h
@@ -20,7 +20,7 @@
 };
 
 // What one priority got after the warm-up.
-struct Served {
+struct PriorityStatistics {
   std::size_t offered = 0;
   std::size_t answered = 0;  // Completed within their deadline.
   std::size_t refused = 0;   // At arrival.
@@ -40,11 +40,11 @@
   // The expected wait relies on the shares of the last second, so calls that are queued at the very
   // start of a flood may wait longer than their bound. They have left the queue by then.
   Duration warm_up = std::chrono::seconds(6);
-  Duration measured = std::chrono::seconds(10);
+  Duration measurement_time = std::chrono::seconds(10);
 };
 
 struct SimulationResult {
-  std::vector<Served> priorities;
+  std::vector<PriorityStatistics> priorities;
   double used_slot_time = 0.0;  // Slot time of calls answered in time, as part of all slot time.
 };
 
--- a/tests/auto/policy/atmostonceworld.cpp
+++ b/tests/auto/policy/atmostonceworld.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-AtMostOnceWorld::AtMostOnceWorld(std::uint64_t seed, Sabotage sabotage)
-    : m_sabotage(sabotage), m_random(seed) {
+AtMostOnceSimulation::AtMostOnceSimulation(std::uint64_t seed, InjectedFault injected_fault)
+    : m_injected_fault(injected_fault), m_random(seed) {
   for (std::size_t index = 0; index < kNodes; ++index) {
     Node& node = m_nodes.emplace_back();
     node.id = BackendServerId("s" + std::to_string(index));
@@ -32,12 +32,12 @@
   for (std::size_t index = 0; index < kNodes; ++index) Start(index, m_newest_version);
 }
 
-Violations AtMostOnceWorld::Run() {
+Violations AtMostOnceSimulation::Run() {
   for (std::size_t step = 0; step < kSteps; ++step) {
     m_now += milliseconds(m_random.Below(60));
     if (OneIn(200)) m_now += seconds(m_random.Below(240));
-    Disturb();
-    CallersSend();
+    ApplyRandomEvents();
+    SendFromCallers();
     for (std::size_t index = 0; index < kNodes; ++index) {
       Node& node = m_nodes[index];
       if (node.paused_until > m_now) continue;
@@ -53,13 +53,13 @@
   return m_violations;
 }
 
-WallTime AtMostOnceWorld::WallOf(const Node& node) const {
+WallTime AtMostOnceSimulation::WallTimeOf(const Node& node) const {
   const auto since_start =
       std::chrono::duration_cast<milliseconds>(m_now.time_since_epoch() + node.wall_offset);
   return WallTime(seconds(1700000000)) + since_start;
 }
 
-std::vector<BackendServerId> AtMostOnceWorld::Inventory(std::uint64_t version) const {
+std::vector<BackendServerId> AtMostOnceSimulation::Inventory(std::uint64_t version) const {
   std::vector<BackendServerId> members;
   for (const Node& node : m_nodes) {
     if (StableHash(std::to_string(version), node.id.Value()) % 4 != 0) members.push_back(node.id);
@@ -67,29 +67,30 @@
   return members;
 }
 
-void AtMostOnceWorld::Start(std::size_t index, std::uint64_t version) {
+void AtMostOnceSimulation::Start(std::size_t index, std::uint64_t version) {
   Node& node = m_nodes[index];
   node.incarnation = Incarnation{m_next_incarnation++};
   node.clocks = OwnerClocks();
   node.attempts.clear();
   node.owned.clear();
   node.next_call = 1;
-  const bool unchecked = m_sabotage == Sabotage::kNoRestartCheck;
-  const Incarnation known_as = unchecked ? Incarnation{} : node.incarnation;
-  node.guard = std::make_unique<SendGuard>(known_as);
-  node.registry = std::make_unique<RequestRegistry>(node.id, unchecked ? WallTime() : WallOf(node));
+  const bool skips_restart_check = m_injected_fault == InjectedFault::kNoRestartCheck;
+  const Incarnation guard_incarnation = skips_restart_check ? Incarnation{} : node.incarnation;
+  node.guard = std::make_unique<SendGuard>(guard_incarnation);
+  node.registry = std::make_unique<RequestRegistry>(
+      node.id, skips_restart_check ? WallTime() : WallTimeOf(node));
   node.version = 0;
   ApplyVersion(index, version);
 }
 
-void AtMostOnceWorld::ApplyVersion(std::size_t index, std::uint64_t version) {
+void AtMostOnceSimulation::ApplyVersion(std::size_t index, std::uint64_t version) {
   Node& node = m_nodes[index];
   if (version <= node.version) return;
   node.version = version;
-  node.registry->SetInventory(Inventory(version), version, WallOf(node));
+  node.registry->SetInventory(Inventory(version), version, WallTimeOf(node));
 }
 
-bool AtMostOnceWorld::RemovedServersKnow() const {
+bool AtMostOnceSimulation::RemovedServersAreUpToDate() const {
   const std::vector<BackendServerId> members = Inventory(m_newest_version);
   return std::all_of(m_nodes.begin(), m_nodes.end(), [&](const Node& node) {
     return node.version == m_newest_version ||
@@ -97,7 +98,7 @@
   });
 }
 
-void AtMostOnceWorld::Post(Message message) {
+void AtMostOnceSimulation::Post(Message message) {
   // Some messages are lost, some late, and some arrive twice, each after its own delay.
   const std::size_t copies = OneIn(7) ? 0 : OneIn(7) ? 2 : 1;
   // A connection ends with its process, so both copies can only reach the same one.
@@ -108,33 +109,33 @@
   }
 }
 
-void AtMostOnceWorld::Disturb() {
+void AtMostOnceSimulation::ApplyRandomEvents() {
   // One change at a time reaches the nodes one by one; the next waits until servers that were
   // taken out know it (docs/at-most-once.md, assumptions).
-  if (OneIn(150) && RemovedServersKnow()) ++m_newest_version;
-  for (std::size_t index = 0; index < kNodes; ++index) DisturbNode(index);
+  if (OneIn(150) && RemovedServersAreUpToDate()) ++m_newest_version;
+  for (std::size_t index = 0; index < kNodes; ++index) ApplyRandomNodeEvents(index);
 }
 
-void AtMostOnceWorld::DisturbNode(std::size_t index) {
+void AtMostOnceSimulation::ApplyRandomNodeEvents(std::size_t index) {
   Node& node = m_nodes[index];
   if (OneIn(150)) node.paused_until = m_now + milliseconds(m_random.Below(6000));
-  if (OneIn(300) && RemovedServersKnow()) {
+  if (OneIn(300) && RemovedServersAreUpToDate()) {
     Start(index, OneIn(2) ? m_newest_version : node.version);
   }
   if (node.paused_until > m_now) return;
   if (OneIn(40)) ApplyVersion(index, m_newest_version);
   if (!OneIn(5)) return;
-  Message greeted;
-  greeted.from = m_random.Below(kNodes);
-  Post(AnswerTo(index, greeted, Kind::kHello));
+  Message recipient;
+  recipient.from = m_random.Below(kNodes);
+  Post(MakeReply(index, recipient, Kind::kHello));
 }
 
-void AtMostOnceWorld::CallersSend() {
+void AtMostOnceSimulation::SendFromCallers() {
   if (OneIn(6)) {
     Request& request = m_requests.emplace_back();
     if (!OneIn(3)) {
       const milliseconds error = milliseconds(m_random.Below(1800)) - milliseconds(900);
-      const auto created = WallOf(Node{}).time_since_epoch() + error;
+      const auto created = WallTimeOf(Node{}).time_since_epoch() + error;
       request.id = std::to_string(created.count()) + "-" + std::to_string(m_requests.size());
     }
   }
@@ -148,7 +149,7 @@
   SendCall(ingress, index);
 }
 
-void AtMostOnceWorld::SendCall(std::size_t ingress, std::size_t request_index) {
+void AtMostOnceSimulation::SendCall(std::size_t ingress, std::size_t request_index) {
   Node& node = m_nodes[ingress];
   Request& request = m_requests[request_index];
   std::vector<BackendServerId> servers = Inventory(node.version);
@@ -173,29 +174,30 @@
   Post(call);
 }
 
-AtMostOnceWorld::Message AtMostOnceWorld::AnswerTo(std::size_t index, const Message& question,
-                                                   Kind kind) const {
+AtMostOnceSimulation::Message AtMostOnceSimulation::MakeReply(std::size_t index,
+                                                              const Message& original,
+                                                              Kind kind) const {
   const Node& node = m_nodes[index];
-  Message answer;
-  answer.kind = kind;
-  answer.from = index;
-  answer.to = question.from;
-  answer.key = question.key;
-  answer.request = question.request;
-  answer.query = question.query;
-  answer.owner = node.incarnation;
-  answer.clock_us = ToClockMicroseconds(ClockOf(node));
-  answer.version = node.version;
-  return answer;
+  Message reply;
+  reply.kind = kind;
+  reply.from = index;
+  reply.to = original.from;
+  reply.key = original.key;
+  reply.request = original.request;
+  reply.query = original.query;
+  reply.owner = node.incarnation;
+  reply.clock_us = ToClockMicroseconds(ClockOf(node));
+  reply.version = node.version;
+  return reply;
 }
 
-void AtMostOnceWorld::Handle(std::size_t index, const Message& message) {
+void AtMostOnceSimulation::Handle(std::size_t index, const Message& message) {
   Node& node = m_nodes[index];
   if (message.only_for.value != 0 && message.only_for != node.incarnation) return;
   if (message.owner.value != 0) {
     const BackendServerId& owner = m_nodes[message.from].id;
     node.clocks.Note(owner, message.owner, message.clock_us, ClockOf(node));
-    node.registry->NoteVersion(owner, message.owner, message.version, WallOf(node));
+    node.registry->NoteVersion(owner, message.owner, message.version, WallTimeOf(node));
   }
   switch (message.kind) {
     case Kind::kHello:
@@ -213,26 +215,27 @@
       return;
     case Kind::kClaim: {
       const ReleaseAnswer release =
-          node.registry->Release(m_requests[message.request].id, WallOf(node));
-      Message answer = AnswerTo(index, message, Kind::kClaimAnswer);
-      answer.released = release.released;
-      answer.reason = release.reason;
-      return Post(answer);
+          node.registry->Release(m_requests[message.request].id, WallTimeOf(node));
+      Message reply = MakeReply(index, message, Kind::kClaimReply);
+      reply.released = release.released;
+      reply.reason = release.reason;
+      return Post(reply);
     }
-    case Kind::kClaimAnswer:
-      return HandleClaimAnswer(index, message);
+    case Kind::kClaimReply:
+      return HandleClaimReply(index, message);
   }
 }
 
-void AtMostOnceWorld::HandleCall(std::size_t index, const Message& message) {
+void AtMostOnceSimulation::HandleCall(std::size_t index, const Message& message) {
   Node& node = m_nodes[index];
   if (node.owned.contains(message.key)) return;
-  const bool no_restart_check = m_sabotage == Sabotage::kNoRestartCheck;
+  const bool no_restart_check = m_injected_fault == InjectedFault::kNoRestartCheck;
   const Incarnation owner = no_restart_check ? Incarnation{} : message.stamp.incarnation;
   const std::uint64_t now_us =
-      m_sabotage == Sabotage::kNoExpiryCheck ? 0 : ToClockMicroseconds(ClockOf(node));
-  const SendGuard forgetful(no_restart_check ? Incarnation{} : node.incarnation);
-  const SendGuard& guard = m_sabotage == Sabotage::kNoTombstoneCheck ? forgetful : *node.guard;
+      m_injected_fault == InjectedFault::kNoExpiryCheck ? 0 : ToClockMicroseconds(ClockOf(node));
+  const SendGuard empty_guard(no_restart_check ? Incarnation{} : node.incarnation);
+  const SendGuard& guard =
+      m_injected_fault == InjectedFault::kNoTombstoneCheck ? empty_guard : *node.guard;
   const SendDecision decision =
       guard.Arrive(message.key, owner, message.stamp.expires_at_us, now_us);
   if (decision.ignore) return;
@@ -246,28 +249,28 @@
   if (!m_requests[message.request].id.empty()) Claim(index, message, entry);
 }
 
-void AtMostOnceWorld::Claim(std::size_t index, const Message& message, OwnedEntry& entry) {
+void AtMostOnceSimulation::Claim(std::size_t index, const Message& message, OwnedEntry& entry) {
   Node& node = m_nodes[index];
   const RequestDecision decision =
-      node.registry->Arrive(m_requests[message.request].id, "digest", {}, WallOf(node));
+      node.registry->Arrive(m_requests[message.request].id, "digest", {}, WallTimeOf(node));
   switch (decision.kind) {
     case RequestDecision::Kind::kAccept:
       return;
     case RequestDecision::Kind::kRefuse:
-      ++m_violations.duplicate_ids_stopped;
+      ++m_violations.blocked_resends;
       node.owned.erase(message.key);
       return Refuse(index, message.from, message.key, message.stamp.expires_at_us, decision.reason);
     case RequestDecision::Kind::kReplay:
-      ++m_violations.duplicate_ids_stopped;
+      ++m_violations.blocked_resends;
       node.guard->NoteEnded(message.key, entry.stamp.expires_at_us,
                             ToClockMicroseconds(ClockOf(node)));
       node.owned.erase(message.key);
-      return Post(AnswerTo(index, message, Kind::kAnswered));
+      return Post(MakeReply(index, message, Kind::kAnswered));
     case RequestDecision::Kind::kAsk:
       break;
   }
-  if (m_sabotage == Sabotage::kNoInventoryCheck) return;
-  entry.awaited = {decision.ask.begin(), decision.ask.end()};
+  if (m_injected_fault == InjectedFault::kNoInventoryCheck) return;
+  entry.pending_claims = {decision.ask.begin(), decision.ask.end()};
   entry.query = m_next_query++;
   for (const BackendServerId& server : decision.ask) {
     Message claim;
@@ -280,40 +283,40 @@
   }
 }
 
-void AtMostOnceWorld::HandleClaimAnswer(std::size_t index, const Message& message) {
+void AtMostOnceSimulation::HandleClaimReply(std::size_t index, const Message& message) {
   Node& node = m_nodes[index];
   const auto found = std::find_if(node.owned.begin(), node.owned.end(), [&](const auto& entry) {
-    return !entry.second.awaited.empty() && entry.second.query == message.query;
+    return !entry.second.pending_claims.empty() && entry.second.query == message.query;
   });
   if (found == node.owned.end()) return;
-  if (!message.released) return RefuseUnrun(index, found->first, message.reason);
-  found->second.awaited.erase(m_nodes[message.from].id);
+  if (!message.released) return RefuseNotRun(index, found->first, message.reason);
+  found->second.pending_claims.erase(m_nodes[message.from].id);
 }
 
-void AtMostOnceWorld::HandleStatusQuery(std::size_t index, const Message& message) {
+void AtMostOnceSimulation::HandleStatusQuery(std::size_t index, const Message& message) {
   Node& node = m_nodes[index];
-  Message answer = AnswerTo(index, message, Kind::kStatusResult);
+  Message reply = MakeReply(index, message, Kind::kStatusResult);
   const auto found = node.owned.find(message.key);
   if (found != node.owned.end()) {
-    answer.progress = found->second.running ? CallProgress::kRunning : CallProgress::kQueued;
+    reply.progress = found->second.running ? CallProgress::kRunning : CallProgress::kQueued;
   } else {
     switch (node.guard->Settle(message.key, message.stamp.expires_at_us,
                                ToClockMicroseconds(ClockOf(node)))) {
       case EndedCall::kNeverSeen:
-        answer.progress = CallProgress::kNeverSeen;
+        reply.progress = CallProgress::kNeverSeen;
         break;
       case EndedCall::kNotRun:
-        answer.progress = CallProgress::kCancelled;
+        reply.progress = CallProgress::kCancelled;
         break;
       case EndedCall::kMayHaveRun:
-        answer.progress = CallProgress::kDone;
+        reply.progress = CallProgress::kDone;
         break;
     }
   }
-  Post(answer);
+  Post(reply);
 }
 
-void AtMostOnceWorld::HandleStatusResult(std::size_t index, const Message& message) {
+void AtMostOnceSimulation::HandleStatusResult(std::size_t index, const Message& message) {
   Node& node = m_nodes[index];
   const auto found = node.attempts.find(message.key.call);
   if (message.key.incarnation != node.incarnation || found == node.attempts.end()) return;
@@ -322,7 +325,7 @@
     case AttemptVerdict::kWait:
       return;
     case AttemptVerdict::kNotRun:
-      TellNotRun(message.key, request);
+      ReportNotRun(message.key, request);
       break;
     case AttemptVerdict::kUnknown:
     case AttemptVerdict::kUnknownOwnerRestarted:
@@ -331,30 +334,30 @@
   node.attempts.erase(message.key.call);
 }
 
-void AtMostOnceWorld::HandleRefused(std::size_t index, const Message& message) {
+void AtMostOnceSimulation::HandleRefused(std::size_t index, const Message& message) {
   Node& node = m_nodes[index];
   const auto found = node.attempts.find(message.key.call);
   if (message.key.incarnation != node.incarnation || found == node.attempts.end()) return;
   const std::size_t request = found->second.request;
-  const bool is_late = found->second.given_up_at <= m_now;
+  const bool is_late = found->second.abandoned_at <= m_now;
   node.attempts.erase(found);
   if (is_late) return;
-  if (InfoOf(message.reason).outcome == Outcome::kNotRun) TellNotRun(message.key, request);
+  if (InfoOf(message.reason).outcome == Outcome::kNotRun) ReportNotRun(message.key, request);
 }
 
-void AtMostOnceWorld::Refuse(std::size_t index, std::size_t ingress, const CallKey& key,
-                             std::uint64_t expires_at_us, Reason reason) {
+void AtMostOnceSimulation::Refuse(std::size_t index, std::size_t ingress, const CallKey& key,
+                                  std::uint64_t expires_at_us, Reason reason) {
   Node& node = m_nodes[index];
   node.guard->NoteRefused(key, expires_at_us, ToClockMicroseconds(ClockOf(node)));
-  Message question;
-  question.from = ingress;
-  question.key = key;
-  Message answer = AnswerTo(index, question, Kind::kRefused);
-  answer.reason = reason;
-  Post(answer);
+  Message original;
+  original.from = ingress;
+  original.key = key;
+  Message reply = MakeReply(index, original, Kind::kRefused);
+  reply.reason = reason;
+  Post(reply);
 }
 
-void AtMostOnceWorld::RefuseUnrun(std::size_t index, const CallKey& key, Reason reason) {
+void AtMostOnceSimulation::RefuseNotRun(std::size_t index, const CallKey& key, Reason reason) {
   Node& node = m_nodes[index];
   // `key` may belong to the entry, which lives until the end of this function.
   const auto refused = node.owned.extract(key);
@@ -364,7 +367,7 @@
   Refuse(index, entry.ingress, refused.key(), entry.stamp.expires_at_us, reason);
 }
 
-void AtMostOnceWorld::Advance(std::size_t index) {
+void AtMostOnceSimulation::Advance(std::size_t index) {
   Node& node = m_nodes[index];
   std::vector<CallKey> keys;
   for (const auto& [key, entry] : node.owned) keys.push_back(key);
@@ -372,22 +375,22 @@
   QueryAttempts(index);
   if (!OneIn(4)) return;
   node.guard->Sweep(ToClockMicroseconds(ClockOf(node)));
-  node.registry->Sweep({}, WallOf(node));
+  node.registry->Sweep({}, WallTimeOf(node));
 }
 
-void AtMostOnceWorld::AdvanceOwned(std::size_t index, const CallKey& key) {
+void AtMostOnceSimulation::AdvanceOwned(std::size_t index, const CallKey& key) {
   Node& node = m_nodes[index];
   OwnedEntry& entry = node.owned.at(key);
   const std::uint64_t now_us = ToClockMicroseconds(ClockOf(node));
   const bool is_expired =
-      entry.stamp.expires_at_us <= now_us && m_sabotage != Sabotage::kNoExpiryCheck;
+      entry.stamp.expires_at_us <= now_us && m_injected_fault != InjectedFault::kNoExpiryCheck;
   if (!entry.running) {
-    if (is_expired) return RefuseUnrun(index, key, Reason::kQueueExpired);
-    if (!entry.awaited.empty()) {
-      if (OneIn(30)) RefuseUnrun(index, key, Reason::kHomeUnreachable);
+    if (is_expired) return RefuseNotRun(index, key, Reason::kQueueExpired);
+    if (!entry.pending_claims.empty()) {
+      if (OneIn(30)) RefuseNotRun(index, key, Reason::kHomeUnreachable);
       return;
     }
-    if (OneIn(20)) return RefuseUnrun(index, key, Reason::kQueueFullCount);
+    if (OneIn(20)) return RefuseNotRun(index, key, Reason::kQueueFullCount);
     if (OneIn(3)) return;
     entry.running = true;
     entry.done_at = m_now + milliseconds(m_random.Below(1500));
@@ -399,17 +402,17 @@
   if (!id.empty() && failed) node.registry->NoteUnknown(id, Reason::kBackendClosed);
   if (!id.empty() && !failed) node.registry->NoteRan(id, {});
   node.guard->NoteEnded(key, entry.stamp.expires_at_us, now_us);
-  Message question;
-  question.from = entry.ingress;
-  question.key = key;
+  Message original;
+  original.from = entry.ingress;
+  original.key = key;
   node.owned.erase(key);
-  Post(AnswerTo(index, question, Kind::kAnswered));
+  Post(MakeReply(index, original, Kind::kAnswered));
 }
 
-void AtMostOnceWorld::QueryAttempts(std::size_t index) {
+void AtMostOnceSimulation::QueryAttempts(std::size_t index) {
   Node& node = m_nodes[index];
   std::erase_if(node.attempts,
-                [&](const auto& entry) { return entry.second.given_up_at <= m_now; });
+                [&](const auto& entry) { return entry.second.abandoned_at <= m_now; });
   for (const auto& [id, attempt] : node.attempts) {
     if (!OneIn(15)) continue;
     Message query;
@@ -422,17 +425,17 @@
   }
 }
 
-void AtMostOnceWorld::RunRequest(const CallKey& key, std::size_t request) {
+void AtMostOnceSimulation::RunRequest(const CallKey& key, std::size_t request) {
   ++m_violations.runs;
   if (++m_requests[request].runs > 1) ++m_violations.ran_twice;
-  m_run.insert(key);
-  if (m_told_not_run.contains(key)) ++m_violations.ran_when_not_run;
+  m_executed.insert(key);
+  if (m_reported_not_run.contains(key)) ++m_violations.ran_when_not_run;
 }
 
-void AtMostOnceWorld::TellNotRun(const CallKey& key, std::size_t request) {
-  ++m_violations.not_run_answers;
-  m_told_not_run.insert(key);
-  if (m_run.contains(key)) ++m_violations.ran_when_not_run;
+void AtMostOnceSimulation::ReportNotRun(const CallKey& key, std::size_t request) {
+  ++m_violations.not_run_reports;
+  m_reported_not_run.insert(key);
+  if (m_executed.contains(key)) ++m_violations.ran_when_not_run;
   m_requests[request].may_send = true;
 }
 
--- a/tests/auto/policy/atmostonceworld.h
+++ b/tests/auto/policy/atmostonceworld.h
@@ -19,7 +19,7 @@
 namespace damaskhollow::test {
 
 // Faults that are put into the world to show that the explorer would see them.
-enum class Sabotage {
+enum class InjectedFault {
   kNone,
   kNoExpiryCheck,
   kNoTombstoneCheck,
@@ -32,17 +32,17 @@
   std::size_t ran_twice = 0;         // Non-idempotent requests that ran more than once.
   std::size_t ran_when_not_run = 0;  // Sends that ran although their caller was told "not run".
   std::size_t runs = 0;              // All runs, to show that the world does something.
-  std::size_t not_run_answers = 0;
-  std::size_t duplicate_ids_stopped = 0;  // Resends that a registry kept from running.
+  std::size_t not_run_reports = 0;
+  std::size_t blocked_resends = 0;  // Resends that a registry kept from running.
 
   bool Any() const { return ran_twice + ran_when_not_run > 0; }
 };
 
 // A small fleet on a simulated clock: ingresses, owners and callers that send again. Every message
 // may be lost, late or delivered twice, and every process may pause or restart, at each step.
-class AtMostOnceWorld {
+class AtMostOnceSimulation {
  public:
-  AtMostOnceWorld(std::uint64_t seed, Sabotage sabotage);
+  AtMostOnceSimulation(std::uint64_t seed, InjectedFault injected_fault);
 
   Violations Run();
 
@@ -55,7 +55,7 @@
     kRefused,
     kAnswered,
     kClaim,
-    kClaimAnswer,
+    kClaimReply,
   };
 
   struct Message {
@@ -87,7 +87,7 @@
     std::size_t request = 0;
     std::size_t owner = 0;
     ExpiryStamp stamp;
-    TimePoint given_up_at{};
+    TimePoint abandoned_at{};
   };
 
   struct OwnedEntry {
@@ -96,7 +96,7 @@
     ExpiryStamp stamp;
     bool running = false;
     TimePoint done_at{};
-    std::set<BackendServerId> awaited;
+    std::set<BackendServerId> pending_claims;
     std::uint64_t query = 0;
   };
 
@@ -120,15 +120,15 @@
   void Start(std::size_t index, std::uint64_t version);
   void ApplyVersion(std::size_t index, std::uint64_t version);
   std::vector<BackendServerId> Inventory(std::uint64_t version) const;
-  bool RemovedServersKnow() const;
+  bool RemovedServersAreUpToDate() const;
   TimePoint ClockOf(const Node& node) const { return m_now + node.clock_offset; }
-  WallTime WallOf(const Node& node) const;
+  WallTime WallTimeOf(const Node& node) const;
   bool OneIn(std::size_t count) { return m_random.Below(count) == 0; }
 
   void Post(Message message);
-  void Disturb();
-  void DisturbNode(std::size_t index);
-  void CallersSend();
+  void ApplyRandomEvents();
+  void ApplyRandomNodeEvents(std::size_t index);
+  void SendFromCallers();
   void SendCall(std::size_t ingress, std::size_t request);
   void Handle(std::size_t index, const Message& message);
   void HandleCall(std::size_t index, const Message& message);
@@ -136,24 +136,24 @@
   void HandleStatusQuery(std::size_t index, const Message& message);
   void HandleStatusResult(std::size_t index, const Message& message);
   void HandleRefused(std::size_t index, const Message& message);
-  void HandleClaimAnswer(std::size_t index, const Message& message);
-  Message AnswerTo(std::size_t index, const Message& question, Kind kind) const;
-  void RefuseUnrun(std::size_t index, const CallKey& key, Reason reason);
+  void HandleClaimReply(std::size_t index, const Message& message);
+  Message MakeReply(std::size_t index, const Message& original, Kind kind) const;
+  void RefuseNotRun(std::size_t index, const CallKey& key, Reason reason);
   void Refuse(std::size_t index, std::size_t ingress, const CallKey& key,
               std::uint64_t expires_at_us, Reason reason);
   void Advance(std::size_t index);
   void AdvanceOwned(std::size_t index, const CallKey& key);
   void QueryAttempts(std::size_t index);
   void RunRequest(const CallKey& key, std::size_t request);
-  void TellNotRun(const CallKey& key, std::size_t request);
+  void ReportNotRun(const CallKey& key, std::size_t request);
 
-  const Sabotage m_sabotage;
+  const InjectedFault m_injected_fault;
   RandomSource m_random;
   TimePoint m_now{std::chrono::seconds(1000)};
   std::vector<Node> m_nodes;
   std::vector<Request> m_requests;
-  std::set<CallKey> m_run;
-  std::set<CallKey> m_told_not_run;
+  std::set<CallKey> m_executed;
+  std::set<CallKey> m_reported_not_run;
   std::uint64_t m_newest_version = 1;
   std::uint64_t m_next_incarnation = 1;
   std::uint64_t m_next_query = 1;
--- a/tests/auto/policy/ownersimulation.cpp
+++ b/tests/auto/policy/ownersimulation.cpp
@@ -52,7 +52,7 @@
  private:
   void Step() {
     if ((m_now.time_since_epoch() % kBurstPeriod).count() == 0) {
-      m_slowness = m_random.Unit() < m_server.burst_part ? m_server.burst_factor : 1.0;
+      m_slowness = m_random.Unit() < m_server.burst_fraction ? m_server.burst_factor : 1.0;
     }
     if ((m_now.time_since_epoch() % milliseconds(20)).count() == 0) {
       m_pacer.NoteSlowness(m_slowness, m_now);
@@ -86,16 +86,16 @@
     call.id = OwnedCallId{m_next_id++};
     call.priority_index = m_loads[load].priority_index;
     call.deadline = m_now + m_loads[load].deadline;
-    if (m_policy.late_calls_wait) call.target = m_now + m_loads[load].target;
+    if (m_policy.demotes_late_calls) call.target = m_now + m_loads[load].target;
     m_calls[call.id] = Call{load, m_now, {}, {}, {}};
     m_queue.Offer(call, m_now);
   }
 
   void Dispatch() {
-    const std::size_t most = m_pacer.MostInFlight(m_server.slots);
-    m_queue.SetMostInFlight(m_policy.leaves_slots_free ? most : m_server.slots);
+    const std::size_t max_in_flight = m_pacer.MostInFlight(m_server.slots);
+    m_queue.SetMostInFlight(m_policy.limits_in_flight ? max_in_flight : m_server.slots);
     const auto is_held = [&](const PriorityId& priority) {
-      return m_policy.holds_for_speed && m_pacer.IsHeld(priority, m_now);
+      return m_policy.holds_when_slow && m_pacer.IsHeld(priority, m_now);
     };
     for (const OwnedCallId id : m_queue.TakeDispatchable(m_now, is_held)) {
       Call call = m_calls.at(id);
--- a/tests/auto/policy/ownersimulation.h
+++ b/tests/auto/policy/ownersimulation.h
@@ -17,7 +17,7 @@
   std::size_t slots = 9;
   double nearly_full_factor = 1.0;  // From 8 of 9 slots on.
   double burst_factor = 1.0;        // During a burst of a neighbour.
-  double burst_part = 0.0;          // Of the 300 ms periods that are bursts.
+  double burst_fraction = 0.0;      // Of the 300 ms periods that are bursts.
 };
 
 // Calls of one priority that arrive at random times.
@@ -31,9 +31,9 @@
 
 // Which decisions the simulated owner takes.
 struct OwnerPolicy {
-  bool leaves_slots_free = false;
-  bool holds_for_speed = false;
-  bool late_calls_wait = false;
+  bool limits_in_flight = false;
+  bool holds_when_slow = false;
+  bool demotes_late_calls = false;
 };
 
 // What became of the calls of one priority.
--- a/tests/auto/policy/queueingsimulation.cpp
+++ b/tests/auto/policy/queueingsimulation.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::size_t kSlots = 9;
-constexpr Duration kFailTime{1000};
-constexpr Duration kNearOneWay{500};
-constexpr Duration kFarOneWay{30000};
+constexpr Duration kFastFailureTime{1000};
+constexpr Duration kNearOneWayLatency{500};
+constexpr Duration kFarOneWayLatency{30000};
 constexpr int kServiceTimeSmoothing = 8;
 
 BackendServer MakeServer(const std::string& id, const std::string& region) {
@@ -50,7 +50,8 @@
   for (const BackendServer& declared : declaration->backend_servers) {
     Server server;
     server.id = declared.id;
-    server.one_way = declared.region == RegionId("west") ? kNearOneWay : kFarOneWay;
+    server.one_way_latency =
+        declared.region == RegionId("west") ? kNearOneWayLatency : kFarOneWayLatency;
     m_index[server.id] = m_servers.size();
     m_servers.push_back(std::move(server));
   }
@@ -98,7 +99,7 @@
   for (;;) {
     arrival += Duration(static_cast<Duration::rep>(Exponential(1e6 / per_second)));
     if (arrival >= end) break;
-    At(arrival, [this] { Send(); });
+    Schedule(arrival, [this] { Send(); });
   }
   while (!m_events.empty() && m_events.top().at <= end) {
     const Event event = m_events.top();
@@ -109,10 +110,10 @@
   m_now = end;
 }
 
-Duration QueueingSimulation::Percentile(double part) const {
+Duration QueueingSimulation::Percentile(double fraction) const {
   std::vector<Duration> sorted = m_latencies;
   std::sort(sorted.begin(), sorted.end());
-  return sorted.at(static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1)));
+  return sorted.at(static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1)));
 }
 
 std::size_t QueueingSimulation::TotalSent() const {
@@ -126,7 +127,7 @@
   return found == m_refused.end() ? 0 : found->second;
 }
 
-void QueueingSimulation::At(TimePoint time, std::function<void()> action) {
+void QueueingSimulation::Schedule(TimePoint time, std::function<void()> action) {
   m_events.push(Event{time, m_next_order++, std::move(action)});
 }
 
@@ -147,13 +148,13 @@
   call.generation = server.generation;
   ++server.sent;
   router.NoteSent(choice.server, call.id, 0, m_now);
-  At(m_now + server.one_way, [this, call] { Arrive(call); });
+  Schedule(m_now + server.one_way_latency, [this, call] { Arrive(call); });
 }
 
 void QueueingSimulation::Arrive(const Call& call) {
   Server& server = m_servers[call.server];
   if (call.generation != server.generation) {
-    return Answer(call, LoadOf(server), AttemptResult::kFailed);
+    return SendResponse(call, LoadOf(server), AttemptResult::kFailed);
   }
   if (server.running < kSlots) return Start(call);
   server.queue.push_back(call);
@@ -164,15 +165,15 @@
   ++server.running;
   const double mean = static_cast<double>(kServiceTime.count()) * server.behaviour.slowdown;
   const Duration time = server.behaviour.fails_fast
-                            ? kFailTime
+                            ? kFastFailureTime
                             : Duration(static_cast<Duration::rep>(Exponential(mean)));
-  At(m_now + time, [this, call, time] { Finish(call, time); });
+  Schedule(m_now + time, [this, call, time] { Finish(call, time); });
 }
 
 void QueueingSimulation::Finish(const Call& call, Duration service_time) {
   Server& server = m_servers[call.server];
   if (call.generation != server.generation) {
-    return Answer(call, LoadOf(server), AttemptResult::kFailed);
+    return SendResponse(call, LoadOf(server), AttemptResult::kFailed);
   }
   --server.running;
   server.service_time += (service_time - server.service_time) / kServiceTimeSmoothing;
@@ -181,12 +182,13 @@
     server.queue.pop_front();
     Start(next);
   }
-  Answer(call, LoadOf(server),
-         server.behaviour.fails_fast ? AttemptResult::kError : AttemptResult::kAnswered);
+  SendResponse(call, LoadOf(server),
+               server.behaviour.fails_fast ? AttemptResult::kError : AttemptResult::kAnswered);
 }
 
-void QueueingSimulation::Answer(const Call& call, const ReportedLoad& load, AttemptResult result) {
-  At(m_now + m_servers[call.server].one_way, [this, call, load, result] {
+void QueueingSimulation::SendResponse(const Call& call, const ReportedLoad& load,
+                                      AttemptResult result) {
+  Schedule(m_now + m_servers[call.server].one_way_latency, [this, call, load, result] {
     Router& router = m_ingresses[call.ingress];
     router.NoteLoad(m_servers[call.server].id, load, m_now);
     router.NoteEnded(m_servers[call.server].id, call.id, result, m_now);
--- a/tests/auto/policy/queueingsimulation.h
+++ b/tests/auto/policy/queueingsimulation.h
@@ -46,7 +46,7 @@
   // earlier runs are forgotten.
   void Run(Duration time, double per_second);
 
-  Duration Percentile(double part) const;
+  Duration Percentile(double fraction) const;
   // Calls sent to the server in this run.
   std::size_t Sent(std::size_t server) const { return m_servers[server].sent; }
   std::size_t TotalSent() const;
@@ -66,7 +66,7 @@
   };
   struct Server {
     BackendServerId id;
-    Duration one_way{};
+    Duration one_way_latency{};
     ServerBehaviour behaviour;
     std::uint64_t generation = 1;
     std::size_t running = 0;
@@ -83,12 +83,12 @@
     }
   };
 
-  void At(TimePoint time, std::function<void()> action);
+  void Schedule(TimePoint time, std::function<void()> action);
   void Send();
   void Arrive(const Call& call);
   void Start(const Call& call);
   void Finish(const Call& call, Duration service_time);
-  void Answer(const Call& call, const ReportedLoad& load, AttemptResult result);
+  void SendResponse(const Call& call, const ReportedLoad& load, AttemptResult result);
   ReportedLoad LoadOf(const Server& server) const;
   double Exponential(double mean);
 
--- a/tests/auto/policy/tst_admissionqueue.cpp
+++ b/tests/auto/policy/tst_admissionqueue.cpp
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using test::Demand;
-using test::Served;
+using test::PriorityStatistics;
 using test::SimulateAdmission;
 using test::SimulationOptions;
 using test::SimulationResult;
@@ -69,7 +69,7 @@
 }
 
 // Makes the queue know a service time of 20 ms for a priority.
-void Teach(AdmissionQueue& queue, std::size_t priority) {
+void RecordServiceTime(AdmissionQueue& queue, std::size_t priority) {
   const OwnedCallId id{1000000 + priority};
   queue.Offer({id, priority, kStart + seconds(5), 1}, kStart - milliseconds(20));
   queue.TakeDispatchable(kStart - milliseconds(20));
@@ -105,9 +105,9 @@
   void KeepsGoodputInEveryFlood() {
     for (const FloodCase& row : kFloods) {
       const SimulationResult result = Run(row);
-      const std::string seen =
+      const std::string message =
           std::string(row.name) + ": goodput " + std::to_string(result.used_slot_time);
-      CPPUNIT_ASSERT_MESSAGE(seen, result.used_slot_time >= kGoodputTarget);
+      CPPUNIT_ASSERT_MESSAGE(message, result.used_slot_time >= kGoodputTarget);
     }
   }
 
@@ -119,9 +119,9 @@
       for (std::size_t index = 0; index < priorities.size(); ++index) {
         const double entitled = std::min(priorities[index].guaranteed_share, row.load[index]);
         const double share = result.priorities[index].slot_time_share;
-        const std::string seen = std::string(row.name) + ": " + priorities[index].id.Value() +
-                                 " has share " + std::to_string(share);
-        CPPUNIT_ASSERT_MESSAGE(seen, share >= entitled * (1.0 - kShareTolerance));
+        const std::string message = std::string(row.name) + ": " + priorities[index].id.Value() +
+                                    " has share " + std::to_string(share);
+        CPPUNIT_ASSERT_MESSAGE(message, share >= entitled * (1.0 - kShareTolerance));
       }
     }
   }
@@ -132,10 +132,10 @@
       if (row.load[2] < 10.0 || row.load[0] > 1.0) continue;
       const SimulationResult result = Run(row);
       for (std::size_t index = 0; index < 2; ++index) {
-        const Served& served = result.priorities[index];
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, served.refused);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, served.evicted);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, served.expired);
+        const PriorityStatistics& statistics = result.priorities[index];
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, statistics.refused);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, statistics.evicted);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, statistics.expired);
       }
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0},
                                    result.priorities[0].overtaken);
@@ -150,11 +150,12 @@
       if (row.service_jitter > 0.0) continue;
       const SimulationResult result = Run(row, 0.0);
       for (std::size_t index = 0; index < priorities.size(); ++index) {
-        const Served& served = result.priorities[index];
-        const std::string seen = std::string(row.name) + ": " + priorities[index].id.Value() +
-                                 " waited " + std::to_string(served.longest_wait.count()) + " us";
-        CPPUNIT_ASSERT_MESSAGE(seen, served.longest_wait <= LongestWait(priorities[index]));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(seen, std::size_t{0}, served.expired);
+        const PriorityStatistics& statistics = result.priorities[index];
+        const std::string message = std::string(row.name) + ": " + priorities[index].id.Value() +
+                                    " waited " + std::to_string(statistics.longest_wait.count()) +
+                                    " us";
+        CPPUNIT_ASSERT_MESSAGE(message, statistics.longest_wait <= LongestWait(priorities[index]));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(message, std::size_t{0}, statistics.expired);
       }
     }
   }
@@ -168,7 +169,7 @@
     SimulationOptions options;
     options.seed = 7;
     options.service_jitter = 0.5;
-    options.measured = seconds(60);
+    options.measurement_time = seconds(60);
     const SimulationResult result = SimulateAdmission(options, priorities, demands);
     for (std::size_t index = 0; index < priorities.size(); ++index) {
       const double share = result.priorities[index].slot_time_share;
@@ -214,7 +215,7 @@
                           Row{"beyond the bound", 20, seconds(5), Reason::kQueueFullTime}};
     for (const Row& row : rows) {
       AdmissionQueue queue({.slots = 1}, Priorities());
-      Teach(queue, 0);
+      RecordServiceTime(queue, 0);
       for (std::uint64_t id = 1; id <= row.ahead; ++id) {
         queue.Offer(CallOf(id, 0), kStart);
         queue.TakeDispatchable(kStart);
@@ -305,12 +306,12 @@
       for (int count = 0; count < 20; ++count) {
         queue.Offer({OwnedCallId{next++}, 0, now + seconds(5), 1}, now);
       }
-      const std::vector<OwnedCallId> taken = queue.TakeDispatchable(now);
+      const std::vector<OwnedCallId> dispatched = queue.TakeDispatchable(now);
       now += milliseconds(20);
-      for (const OwnedCallId id : taken) queue.NoteFinished(id, result, now);
+      for (const OwnedCallId id : dispatched) queue.NoteFinished(id, result, now);
       now += seconds(6);
       queue.TakeExpired(now);
-      return taken.size();
+      return dispatched.size();
     };
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, run_round(SlotResult::kShed));
     // All 9 were sent before the decrease, so they count once.
@@ -391,7 +392,7 @@
   void GivesUpWhatCannotBeStartedInTime() {
     constexpr std::size_t kSlots = 9;
     constexpr std::uint64_t kFlood = 600;
-    constexpr milliseconds kRun{300};
+    constexpr milliseconds kServiceTime{300};
     constexpr milliseconds kDeadline{3000};
     AdmissionQueue queue({.slots = kSlots}, Priorities());
     for (std::uint64_t id = 1; id <= kFlood; ++id) {
@@ -400,24 +401,24 @@
       CPPUNIT_ASSERT(queue.Offer(call, kStart).refusal == Reason::kNone);
     }
     std::size_t run = 0;
-    std::size_t given_up = 0;
-    std::size_t given_up_late = 0;
+    std::size_t unservable = 0;
+    std::size_t unservable_late = 0;
     std::vector<OwnedCallId> running = queue.TakeDispatchable(kStart);
-    for (TimePoint now = kStart + kRun; !running.empty(); now += kRun) {
+    for (TimePoint now = kStart + kServiceTime; !running.empty(); now += kServiceTime) {
       for (const OwnedCallId id : running) {
         queue.NoteFinished(id, SlotResult::kCompleted, now);
       }
       run += running.size();
       running = queue.TakeDispatchable(now);
       const std::size_t count = queue.TakeHopeless(now).size() + queue.TakeExpired(now).size();
-      given_up += count;
-      if (now > kStart + kDeadline / 3) given_up_late += count;
+      unservable += count;
+      if (now > kStart + kDeadline / 3) unservable_late += count;
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlood}, run + given_up);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlood}, run + unservable);
     // When the running calls end is not known, so the last round of the slots is in doubt.
-    CPPUNIT_ASSERT(given_up_late <= kSlots);
+    CPPUNIT_ASSERT(unservable_late <= kSlots);
     // What the slots can start until 0.7 of a run before the deadline is not given up.
-    CPPUNIT_ASSERT(run >= kSlots * (kDeadline / kRun - 1));
+    CPPUNIT_ASSERT(run >= kSlots * (kDeadline / kServiceTime - 1));
   }
 
   // Guards against an estimate that refuses all calls of a priority and is therefore never renewed.
@@ -437,10 +438,10 @@
       call.deadline = now + deadline;
       return call;
     };
-    const auto run_next = [&](std::optional<OwnedCallId> quick) {
+    const auto run_next = [&](std::optional<OwnedCallId> short_call_id) {
       const std::vector<OwnedCallId> running = queue.TakeDispatchable(now);
-      const bool is_quick = quick && running == std::vector{*quick};
-      now += is_quick ? kShort : kBusy;
+      const bool is_short = short_call_id && running == std::vector{*short_call_id};
+      now += is_short ? kShort : kBusy;
       for (const OwnedCallId id : running) {
         queue.NoteFinished(id, SlotResult::kCompleted, now);
       }
@@ -451,17 +452,17 @@
       now += kLong;
       queue.NoteFinished(running.front(), SlotResult::kCompleted, now);
     }
-    int taken = 0;
+    int admitted = 0;
     for (int call = 0; call < kShortCalls; ++call) {
       for (int busy = 0; busy < 3; ++busy) queue.Offer(call_of(2, seconds(60)), now);
       run_next(std::nullopt);
       AdmissionCall short_call = call_of(0, kTarget);
       short_call.target = now + kTarget;
-      const bool is_taken = queue.Offer(short_call, now).refusal == Reason::kNone;
-      taken += is_taken ? 1 : 0;
+      const bool is_admitted = queue.Offer(short_call, now).refusal == Reason::kNone;
+      admitted += is_admitted ? 1 : 0;
       for (int turn = 0; turn < 3; ++turn) run_next(short_call.id);
     }
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(taken), taken >= kShortCalls * 4 / 5);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= kShortCalls * 4 / 5);
   }
 
  private:
--- a/tests/auto/policy/tst_atmostonce.cpp
+++ b/tests/auto/policy/tst_atmostonce.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-using test::AtMostOnceWorld;
-using test::Sabotage;
+using test::AtMostOnceSimulation;
+using test::InjectedFault;
 using test::Violations;
 
 constexpr std::uint64_t kSeeds = 60;
 
-struct SabotageCase {
+struct InjectedFaultCase {
   std::string_view name;
-  Sabotage sabotage;
+  InjectedFault injected_fault;
 };
 
-constexpr std::array kSabotages{
-    SabotageCase{"no expiry check", Sabotage::kNoExpiryCheck},
-    SabotageCase{"no tombstone check", Sabotage::kNoTombstoneCheck},
-    SabotageCase{"no restart check", Sabotage::kNoRestartCheck},
-    SabotageCase{"no inventory check", Sabotage::kNoInventoryCheck},
+constexpr std::array kInjectedFaultCases{
+    InjectedFaultCase{"no expiry check", InjectedFault::kNoExpiryCheck},
+    InjectedFaultCase{"no tombstone check", InjectedFault::kNoTombstoneCheck},
+    InjectedFaultCase{"no restart check", InjectedFault::kNoRestartCheck},
+    InjectedFaultCase{"no inventory check", InjectedFault::kNoInventoryCheck},
 };
 
 }  // namespace
@@ -43,29 +43,28 @@
   void RunsNoRequestTwice() {
     Violations sum;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      const Violations found = AtMostOnceWorld(seed, Sabotage::kNone).Run();
-      const std::string seen = "seed " + std::to_string(seed) + ": ran twice " +
-                               std::to_string(found.ran_twice) + ", ran though not run " +
-                               std::to_string(found.ran_when_not_run);
-      CPPUNIT_ASSERT_MESSAGE(seen, !found.Any());
+      const Violations found = AtMostOnceSimulation(seed, InjectedFault::kNone).Run();
+      const std::string message = "seed " + std::to_string(seed) + ": ran twice " +
+                                  std::to_string(found.ran_twice) + ", ran though not run " +
+                                  std::to_string(found.ran_when_not_run);
+      CPPUNIT_ASSERT_MESSAGE(message, !found.Any());
       sum.runs += found.runs;
-      sum.not_run_answers += found.not_run_answers;
-      sum.duplicate_ids_stopped += found.duplicate_ids_stopped;
+      sum.not_run_reports += found.not_run_reports;
+      sum.blocked_resends += found.blocked_resends;
     }
-    std::cout << "  seeds 1 to " << kSeeds << ": " << sum.runs << " runs, " << sum.not_run_answers
-              << " not-run answers, " << sum.duplicate_ids_stopped << " resends stopped"
-              << std::endl;
+    std::cout << "  seeds 1 to " << kSeeds << ": " << sum.runs << " runs, " << sum.not_run_reports
+              << " not-run answers, " << sum.blocked_resends << " resends stopped" << std::endl;
     // A world in which nothing runs would prove nothing.
-    CPPUNIT_ASSERT(sum.runs > kSeeds && sum.not_run_answers > kSeeds &&
-                   sum.duplicate_ids_stopped > kSeeds);
+    CPPUNIT_ASSERT(sum.runs > kSeeds && sum.not_run_reports > kSeeds &&
+                   sum.blocked_resends > kSeeds);
   }
 
   // Guards against an explorer that is too tame to find a fault.
   void ExplorerSeesMissingChecks() {
-    for (const SabotageCase& row : kSabotages) {
+    for (const InjectedFaultCase& row : kInjectedFaultCases) {
       std::size_t seeds_with_violation = 0;
       for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        if (AtMostOnceWorld(seed, row.sabotage).Run().Any()) ++seeds_with_violation;
+        if (AtMostOnceSimulation(seed, row.injected_fault).Run().Any()) ++seeds_with_violation;
       }
       std::cout << "  " << row.name << ": violations with " << seeds_with_violation << " of "
                 << kSeeds << " seeds" << std::endl;
--- a/tests/auto/policy/tst_crashguard.cpp
+++ b/tests/auto/policy/tst_crashguard.cpp
@@ -109,16 +109,16 @@
   CrashingFleet(std::size_t nodes, std::uint64_t seed) : m_guards(nodes), m_random(seed) {}
 
   // Sends the poison through one node to another beside `beside`; returns whether it was run.
-  bool SendPoison(std::size_t ingress, std::size_t owner, const std::vector<std::string>& beside,
-                  TimePoint now) {
+  bool SendCrashingRequest(std::size_t ingress, std::size_t owner,
+                           const std::vector<std::string>& concurrent, TimePoint now) {
     if (m_guards[ingress].IsBanned("poison", now)) return false;
     if (m_guards[owner].IsBanned("poison", now)) return false;
     std::vector<std::string> in_flight{"poison"};
-    const bool poison_is_suspect = m_guards[owner].IsSuspect("poison", now);
-    for (const std::string& digest : beside) {
+    const bool crashing_is_suspect = m_guards[owner].IsSuspect("poison", now);
+    for (const std::string& digest : concurrent) {
       if (m_guards[owner].IsBanned(digest, now)) continue;
       // The gate keeps suspects apart.
-      if (poison_is_suspect && m_guards[owner].IsSuspect(digest, now)) continue;
+      if (crashing_is_suspect && m_guards[owner].IsSuspect(digest, now)) continue;
       in_flight.push_back(digest);
     }
     ++crashes;
@@ -130,7 +130,7 @@
     return true;
   }
 
-  std::size_t Other(std::size_t node) {
+  std::size_t RandomOtherNode(std::size_t node) {
     return (node + 1 + m_random.Below(m_guards.size() - 1)) % m_guards.size();
   }
 
@@ -198,7 +198,7 @@
       CrashingFleet fleet(9, seed);
       for (std::size_t resend = 0; resend < 10; ++resend) {
         const TimePoint now = kStart + std::chrono::seconds(resend);
-        fleet.SendPoison(resend % 9, fleet.Other(resend % 9), {}, now);
+        fleet.SendCrashingRequest(resend % 9, fleet.RandomOtherNode(resend % 9), {}, now);
       }
       // Three crashes of one owner alone ban the request only there, and then one more is needed.
       std::cout << "  seed " << seed << ": " << fleet.crashes << " crashes of 10 resends\n";
@@ -213,7 +213,7 @@
       const std::vector<std::string> popular = Digests("page", 8);
       for (std::size_t resend = 0; resend < 10; ++resend) {
         const TimePoint now = kStart + std::chrono::seconds(resend);
-        fleet.SendPoison(resend % 9, fleet.Other(resend % 9), popular, now);
+        fleet.SendCrashingRequest(resend % 9, fleet.RandomOtherNode(resend % 9), popular, now);
       }
       const TimePoint end = kStart + std::chrono::seconds(10);
       CPPUNIT_ASSERT(fleet.IsBannedAnywhere("poison", end));
--- a/tests/auto/policy/tst_requestregistry.cpp
+++ b/tests/auto/policy/tst_requestregistry.cpp
@@ -198,10 +198,10 @@
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     for (std::size_t position = 0; position < order.size(); ++position) {
       RequestRegistry registry = RegistryAt(position, id);
-      std::vector<BackendServerId> asked = registry.Arrive(id, kDigest, {}, kNow).ask;
-      CPPUNIT_ASSERT_EQUAL(position, asked.size());
+      std::vector<BackendServerId> queried = registry.Arrive(id, kDigest, {}, kNow).ask;
+      CPPUNIT_ASSERT_EQUAL(position, queried.size());
       for (std::size_t higher = 0; higher < position; ++higher) {
-        CPPUNIT_ASSERT(std::count(asked.begin(), asked.end(), order[higher]) == 1);
+        CPPUNIT_ASSERT(std::count(queried.begin(), queried.end(), order[higher]) == 1);
       }
       // Until all have answered, nobody else gets the id.
       CPPUNIT_ASSERT(registry.Release(id, kNow).reason == Reason::kAlreadyRunning);
@@ -213,45 +213,45 @@
     const std::string id = IdAt(kNow);
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     const std::vector<BackendServerId> all_lower{order[1], order[2]};
-    const auto asked = [&](RequestRegistry& registry, const std::string& request) {
-      std::vector<BackendServerId> ask = registry.Arrive(request, kDigest, {}, kNow).ask;
+    const auto queried = [&](RequestRegistry& registry, const std::string& request) {
+      std::vector<BackendServerId> servers = registry.Arrive(request, kDigest, {}, kNow).ask;
       registry.NoteNotRun(request);
-      std::sort(ask.begin(), ask.end(),
+      std::sort(servers.begin(), servers.end(),
                 [&](const auto& first, const auto& second) { return IsBefore(first, second, id); });
-      return ask;
+      return servers;
     };
 
     // A fresh node does not know which inventory the others use.
     RequestRegistry fresh(order[0], kStarted);
     fresh.SetInventory(Servers(), 7, kStarted);
-    CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
+    CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
     fresh.NoteVersion(order[1], Incarnation{1}, 6, kStarted);
-    CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
+    CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
     fresh.NoteVersion(order[1], Incarnation{1}, 7, kStarted);
-    CPPUNIT_ASSERT(asked(fresh, id) == std::vector{order[2]});
+    CPPUNIT_ASSERT(queried(fresh, id) == std::vector{order[2]});
     fresh.NoteVersion(order[2], Incarnation{1}, 7, kNow - seconds(1));
-    CPPUNIT_ASSERT(asked(fresh, id) == std::vector{order[2]});  // The id may be older than that.
-    fresh.NoteVersion(order[1], Incarnation{2}, 0, kStarted);   // Restarted.
-    CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
+    CPPUNIT_ASSERT(queried(fresh, id) == std::vector{order[2]});  // The id may be older than that.
+    fresh.NoteVersion(order[1], Incarnation{2}, 0, kStarted);     // Restarted.
+    CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
 
     // A server that was taken out of the inventory may not know it.
     RequestRegistry registry = RegistryAt(0, id);
     registry.SetInventory(std::vector{order[0], order[1]}, 8, kNow - minutes(2));
-    CPPUNIT_ASSERT(asked(registry, id) == all_lower);
+    CPPUNIT_ASSERT(queried(registry, id) == all_lower);
     registry.NoteVersion(order[1], Incarnation{1}, 8, kNow - minutes(1));
-    CPPUNIT_ASSERT(asked(registry, id) == std::vector{order[2]});
+    CPPUNIT_ASSERT(queried(registry, id) == std::vector{order[2]});
     registry.NoteVersion(order[2], Incarnation{1}, 8, kNow - minutes(1));
-    CPPUNIT_ASSERT(asked(registry, id).empty());
+    CPPUNIT_ASSERT(queried(registry, id).empty());
 
     // A server that is ahead may have passed over the version that this node has.
     registry.NoteVersion(order[1], Incarnation{1}, 9, kNow - minutes(1));
-    CPPUNIT_ASSERT(asked(registry, id) == std::vector{order[1]});
+    CPPUNIT_ASSERT(queried(registry, id) == std::vector{order[1]});
     registry.SetInventory(std::vector{order[0], order[1]}, 9, kNow - seconds(30));
-    CPPUNIT_ASSERT(asked(registry, id).empty());
+    CPPUNIT_ASSERT(queried(registry, id).empty());
 
     // A version without change of this service's inventory does not count.
     registry.SetInventory(std::vector{order[0], order[1]}, 10, kNow);
-    CPPUNIT_ASSERT(asked(registry, id).empty());
+    CPPUNIT_ASSERT(queried(registry, id).empty());
   }
 
   void DoesNotAskServersThatWereAbsent() {
@@ -259,7 +259,7 @@
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     struct Row {
       WallTime absent_since;
-      std::size_t asked;
+      std::size_t queried;
     };
     for (const Row& row : {Row{kNow - seconds(3), 0}, Row{kNow - seconds(2), 1}, Row{kNow, 1}}) {
       RequestRegistry registry = RegistryAt(1, id);
@@ -267,7 +267,7 @@
         if (server == order[0]) return row.absent_since;
         return std::nullopt;
       };
-      CPPUNIT_ASSERT_EQUAL(row.asked, registry.Arrive(id, kDigest, absent, kNow).ask.size());
+      CPPUNIT_ASSERT_EQUAL(row.queried, registry.Arrive(id, kDigest, absent, kNow).ask.size());
     }
   }
 
@@ -281,8 +281,8 @@
     RequestRegistry ran = RegistryAt(0, id);
     ran.Arrive(id, kDigest, {}, kNow);
     ran.NoteRan(id, {});
-    const ReleaseAnswer answer = ran.Release(id, kNow);
-    CPPUNIT_ASSERT(!answer.released && answer.reason == Reason::kAlreadyRan);
+    const ReleaseAnswer reply = ran.Release(id, kNow);
+    CPPUNIT_ASSERT(!reply.released && reply.reason == Reason::kAlreadyRan);
 
     // It may have run under the predecessor of a restarted process.
     RequestRegistry restarted(BackendServerId("s1"), kNow);
--- a/tests/auto/policy/tst_retrypolicy.cpp
+++ b/tests/auto/policy/tst_retrypolicy.cpp
@@ -26,8 +26,8 @@
   return budgets;
 }
 
-FailedAttempt MakeFailed(Reason reason, bool proved_not_run, bool idempotent,
-                         std::size_t attempts) {
+FailedAttempt MakeFailedAttempt(Reason reason, bool proved_not_run, bool idempotent,
+                                std::size_t attempts) {
   FailedAttempt failed;
   failed.service = TestService();
   failed.reason = reason;
@@ -98,7 +98,7 @@
   budgets.refusals_are_free = row.refusals_are_free;
   RetryPolicy policy;
   policy.NoteFirstAttempt(TestService(), budgets, kStart);
-  FailedAttempt failed = MakeFailed(row.reason, true, true, row.attempts);
+  FailedAttempt failed = MakeFailedAttempt(row.reason, true, true, row.attempts);
   failed.reached_server = row.reached_server;
   failed.refusals = row.refusals;
   failed.most_attempts = 2;
@@ -112,9 +112,9 @@
 struct FleetCase {
   std::string_view name;
   std::size_t nodes;
-  double per_second;  // Calls to one service, by all nodes.
-  double extra;       // Repeats beside the share, as the platform's bound has it.
-  double restarted;   // Part of the nodes that restart at the same moment, twice.
+  double per_second;       // Calls to one service, by all nodes.
+  double retry_allowance;  // Repeats beside the share, as the platform's bound has it.
+  double restarted_share;  // Part of the nodes that restart at the same moment, twice.
 };
 
 constexpr std::array kFleetCases{
@@ -132,40 +132,40 @@
 void TestFleet(const FleetCase& row) {
   constexpr int kSteps = 400;  // Of 100 ms.
   constexpr int kWindow = 100;
-  constexpr int kSavingSteps = 180;
+  constexpr int kAccumulationSteps = 180;
   Budgets budgets = MakeBudgets(0.1, 0.0);
-  budgets.retry_floor = row.extra / 2.0 / static_cast<double>(row.nodes);
+  budgets.retry_floor = row.retry_allowance / 2.0 / static_cast<double>(row.nodes);
   std::vector<RetryBudget> nodes(row.nodes);
   RandomSource random(7);
   std::vector<double> calls(kSteps);
-  std::vector<double> repeats(kSteps);
-  double due = 0.0;
+  std::vector<double> retries(kSteps);
+  double due_calls = 0.0;
   for (int step = 0; step < kSteps; ++step) {
     const TimePoint now = kStart + std::chrono::milliseconds(100 * step);
     if (step == 200 || step == 240) {
-      const auto restarted = static_cast<double>(row.nodes) * row.restarted;
+      const auto restarted = static_cast<double>(row.nodes) * row.restarted_share;
       for (std::size_t node = 0; node < static_cast<std::size_t>(restarted); ++node) {
         nodes[node] = RetryBudget();
       }
     }
-    for (due += row.per_second / 10.0; due >= 1.0; due -= 1.0) {
+    for (due_calls += row.per_second / 10.0; due_calls >= 1.0; due_calls -= 1.0) {
       nodes[random.Below(nodes.size())].NoteFirstAttempt(budgets, now);
       calls[static_cast<std::size_t>(step)] += 1.0;
     }
-    if (step < kSavingSteps) continue;  // Nothing fails, and budgets are saved up.
+    if (step < kAccumulationSteps) continue;  // Nothing fails, and budgets are saved up.
     for (RetryBudget& node : nodes) {
-      while (node.TakeRetry(budgets, now)) repeats[static_cast<std::size_t>(step)] += 1.0;
+      while (node.TakeRetry(budgets, now)) retries[static_cast<std::size_t>(step)] += 1.0;
     }
   }
   for (int end = kWindow; end <= kSteps; ++end) {
     const auto sum = [&](const std::vector<double>& counts) {
       return std::accumulate(counts.begin() + (end - kWindow), counts.begin() + end, 0.0);
     };
-    const double bound = 0.2 * sum(calls) + row.extra;
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(sum(repeats)) + " repeats, bound " +
+    const double bound = 0.2 * sum(calls) + row.retry_allowance;
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(sum(retries)) + " repeats, bound " +
                                std::to_string(bound) + ", window ends at step " +
                                std::to_string(end),
-                           sum(repeats) <= bound);
+                           sum(retries) <= bound);
   }
 }
 
@@ -174,8 +174,8 @@
 // A chain in which the servers of service k call service k + 1 through an ingress of their own.
 class Chain {
  public:
-  Chain(std::size_t depth, double refusals, std::size_t refusing_from, std::uint64_t seed)
-      : m_refusals(refusals),
+  Chain(std::size_t depth, double refusal_rate, std::size_t refusing_from, std::uint64_t seed)
+      : m_refusal_rate(refusal_rate),
         m_refusing_from(refusing_from),
         m_random(seed),
         m_policies(depth),
@@ -189,17 +189,17 @@
     ++first_attempts[level];
     for (std::size_t sends = 1;; ++sends) {
       ++attempts[level];
-      const bool refused = level >= m_refusing_from && m_random.Unit() < m_refusals;
+      const bool refused = level >= m_refusing_from && m_random.Unit() < m_refusal_rate;
       // A 5xx of the server, also one that it passes on from below, is its answer.
       if (!refused) return Call(level + 1, now);
       const Reason decision = m_policies[level].DecideRetry(
-          MakeFailed(Reason::kQueueFullTime, true, true, sends), m_budgets, now);
+          MakeFailedAttempt(Reason::kQueueFullTime, true, true, sends), m_budgets, now);
       if (decision != Reason::kNone) return false;
     }
   }
 
  private:
-  const double m_refusals;
+  const double m_refusal_rate;
   const std::size_t m_refusing_from;
   RandomSource m_random;
   const Budgets m_budgets = MakeBudgets(0.1, 0.05);
@@ -231,7 +231,7 @@
     for (const DecisionCase& row : kDecisionCases) {
       RetryPolicy policy;
       const Reason decision = policy.DecideRetry(
-          MakeFailed(row.reason, row.proved_not_run, row.idempotent, row.attempts),
+          MakeFailedAttempt(row.reason, row.proved_not_run, row.idempotent, row.attempts),
           MakeBudgets(0.1, 0.05), kStart);
       CPPUNIT_ASSERT_MESSAGE(std::string(row.name), decision == row.decision);
     }
@@ -246,8 +246,8 @@
     for (std::size_t call = 0; call < kCalls; ++call) {
       const TimePoint now = kStart + std::chrono::milliseconds(call);
       policy.NoteFirstAttempt(TestService(), budgets, now);
-      const Reason decision =
-          policy.DecideRetry(MakeFailed(Reason::kQueueFullTime, true, true, 1), budgets, now);
+      const Reason decision = policy.DecideRetry(
+          MakeFailedAttempt(Reason::kQueueFullTime, true, true, 1), budgets, now);
       CPPUNIT_ASSERT(decision == Reason::kNone || decision == Reason::kRetryBudget);
       retries += decision == Reason::kNone ? 1 : 0;
     }
@@ -260,7 +260,7 @@
     RetryPolicy policy;
     const Budgets budgets = MakeBudgets(0.1, 0.05);
     policy.NoteFirstAttempt(TestService(), budgets, kStart);
-    CPPUNIT_ASSERT(policy.DecideRetry(MakeFailed(Reason::kDraining, true, false, 1), budgets,
+    CPPUNIT_ASSERT(policy.DecideRetry(MakeFailedAttempt(Reason::kDraining, true, false, 1), budgets,
                                       kStart) == Reason::kNone);
   }
 
@@ -270,8 +270,8 @@
     for (int call = 0; call < 1000; ++call) {
       const TimePoint now = kStart + std::chrono::seconds(call);
       policy.NoteFirstAttempt(TestService(), budgets, now);
-      CPPUNIT_ASSERT(policy.DecideRetry(MakeFailed(Reason::kDraining, true, true, 1), budgets,
-                                        now) == Reason::kRetryBudget);
+      CPPUNIT_ASSERT(policy.DecideRetry(MakeFailedAttempt(Reason::kDraining, true, true, 1),
+                                        budgets, now) == Reason::kRetryBudget);
       CPPUNIT_ASSERT(!policy.TakeHedge(TestService(), budgets, now));
     }
   }
@@ -279,7 +279,7 @@
   // Guards against calling a request not run because there is no budget to try it again.
   void AnswersUnknownWithoutBudget() {
     RetryPolicy policy;
-    CPPUNIT_ASSERT(policy.DecideRetry(MakeFailed(Reason::kBackendClosed, false, true, 1),
+    CPPUNIT_ASSERT(policy.DecideRetry(MakeFailedAttempt(Reason::kBackendClosed, false, true, 1),
                                       MakeBudgets(0.0, 0.0), kStart) == Reason::kBackendClosed);
   }
 
@@ -293,8 +293,8 @@
       policy.NoteFirstAttempt(TestService(), budgets, now);
     }
     std::size_t retries = 0;
-    while (policy.DecideRetry(MakeFailed(Reason::kLinkSilent, false, true, 1), budgets, now) ==
-           Reason::kNone) {
+    while (policy.DecideRetry(MakeFailedAttempt(Reason::kLinkSilent, false, true, 1), budgets,
+                              now) == Reason::kNone) {
       ++retries;
     }
     // A tenth of the calls of ten seconds, and the floor.
@@ -311,7 +311,7 @@
       const TimePoint now = kStart + std::chrono::milliseconds(call);
       policy.NoteFirstAttempt(TestService(), budgets, now);
       if (policy.TakeHedge(TestService(), budgets, now)) ++hedges;
-      if (policy.DecideRetry(MakeFailed(Reason::kDraining, true, true, 1), budgets, now) ==
+      if (policy.DecideRetry(MakeFailedAttempt(Reason::kDraining, true, true, 1), budgets, now) ==
           Reason::kNone) {
         ++retries;
       }
@@ -326,13 +326,13 @@
   void HedgesAfterPercentile() {
     RetryPolicy policy;
     CPPUNIT_ASSERT(!policy.HedgeDelay(TestService()));
-    for (int answer = 1; answer <= 20; ++answer) {
-      policy.NoteAnswerTime(TestService(), std::chrono::milliseconds(answer));
+    for (int response_ms = 1; response_ms <= 20; ++response_ms) {
+      policy.NoteAnswerTime(TestService(), std::chrono::milliseconds(response_ms));
     }
     CPPUNIT_ASSERT(!policy.HedgeDelay(TestService()));
     for (int round = 0; round < 20; ++round) {
-      for (int answer = 1; answer <= 100; ++answer) {
-        policy.NoteAnswerTime(TestService(), std::chrono::milliseconds(answer));
+      for (int response_ms = 1; response_ms <= 100; ++response_ms) {
+        policy.NoteAnswerTime(TestService(), std::chrono::milliseconds(response_ms));
       }
     }
     const Duration delay = policy.HedgeDelay(TestService()).value();
@@ -345,12 +345,12 @@
     constexpr std::size_t kDepth = 28;
     constexpr std::size_t kCalls = 5000;
     struct Row {
-      double refusals;
+      double refusal_rate;
       std::size_t refusing_from;
     };
     for (const Row row : {Row{1.0, 0}, Row{1.0, kDepth - 1}, Row{0.05, 0}, Row{0.5, kDepth / 2}}) {
       constexpr std::uint64_t kSeed = 28;
-      Chain chain(kDepth, row.refusals, row.refusing_from, kSeed);
+      Chain chain(kDepth, row.refusal_rate, row.refusing_from, kSeed);
       for (std::size_t call = 0; call < kCalls; ++call) {
         chain.Call(0, kStart + std::chrono::milliseconds(10 * call));
       }
@@ -362,7 +362,7 @@
         CPPUNIT_ASSERT(chain.first_attempts[level] <= kCalls);
         highest = std::max(highest, chain.attempts[level]);
       }
-      std::cout << "  refusals " << row.refusals << " from level " << row.refusing_from
+      std::cout << "  refusals " << row.refusal_rate << " from level " << row.refusing_from
                 << ": at most " << highest << " attempts a level for " << kCalls << " calls\n";
     }
   }
--- a/tests/auto/policy/tst_router.cpp
+++ b/tests/auto/policy/tst_router.cpp
@@ -25,7 +25,7 @@
 constexpr std::chrono::seconds kRunTime{20};
 
 // The 99th percentile with `slowdown` on the first server, from the moment of the slowdown on.
-Duration TailWithSlowServer(std::string_view strategy, double slowdown, std::uint64_t seed) {
+Duration P99LatencyWithSlowServer(std::string_view strategy, double slowdown, std::uint64_t seed) {
   QueueingSimulation simulation(strategy, SimulatedDeclaration(kServers, 0, 0), kIngresses, seed);
   simulation.Run(kWarmUp, kCallsPerSecond);
   simulation.SetBehaviour(0, ServerBehaviour{slowdown, false});
@@ -86,10 +86,10 @@
   // Guards against a slow server that drags the tail of the whole service.
   void KeepsTailWithOneSlowServer() {
     for (const std::uint64_t seed : kSeeds) {
-      const Duration healthy = TailWithSlowServer("adaptive", 1.0, seed);
-      const Duration slow = TailWithSlowServer("adaptive", 10.0, seed);
-      const Duration round_robin = TailWithSlowServer("round_robin", 10.0, seed);
-      const Duration least_reported = TailWithSlowServer("least_reported", 10.0, seed);
+      const Duration healthy = P99LatencyWithSlowServer("adaptive", 1.0, seed);
+      const Duration slow = P99LatencyWithSlowServer("adaptive", 10.0, seed);
+      const Duration round_robin = P99LatencyWithSlowServer("round_robin", 10.0, seed);
+      const Duration least_reported = P99LatencyWithSlowServer("least_reported", 10.0, seed);
       std::cout << "  seed " << seed << ": p99 us healthy " << healthy.count() << ", one slow "
                 << slow.count() << ", round robin " << round_robin.count() << ", least reported "
                 << least_reported.count() << '\n';
@@ -195,51 +195,51 @@
   }
 
   void AsksOnlyNearServersThatAreOpen() {
-    Router router = AskingRouter();
-    std::vector<BackendServerId> asked = router.ServersToAsk(AskedCall(), 3, kAskedAt);
-    std::sort(asked.begin(), asked.end());
-    CPPUNIT_ASSERT(asked == (std::vector{BackendServerId("n0"), BackendServerId("n1")}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, router.ServersToAsk(AskedCall(), 1, kAskedAt).size());
-    router.SetReachable(BackendServerId("n0"), false, kAskedAt);
-    asked = router.ServersToAsk(AskedCall(), 3, kAskedAt);
-    CPPUNIT_ASSERT(asked == std::vector{BackendServerId("n1")});
+    Router router = MakeRouter();
+    std::vector<BackendServerId> queried = router.ServersToAsk(MakeRequest(), 3, kQueryTime);
+    std::sort(queried.begin(), queried.end());
+    CPPUNIT_ASSERT(queried == (std::vector{BackendServerId("n0"), BackendServerId("n1")}));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, router.ServersToAsk(MakeRequest(), 1, kQueryTime).size());
+    router.SetReachable(BackendServerId("n0"), false, kQueryTime);
+    queried = router.ServersToAsk(MakeRequest(), 3, kQueryTime);
+    CPPUNIT_ASSERT(queried == std::vector{BackendServerId("n1")});
   }
 
   void TakesTheLeastOffer() {
-    Router router = AskingRouter();
+    Router router = MakeRouter();
     const std::array offers{LoadOffer{BackendServerId("n0"), Duration(300000)},
                             LoadOffer{BackendServerId("n1"), Duration(100000)}};
-    const RoutingChoice choice = router.ChooseAmong(AskedCall(), offers, kAskedAt);
+    const RoutingChoice choice = router.ChooseAmong(MakeRequest(), offers, kQueryTime);
     CPPUNIT_ASSERT(choice.server == BackendServerId("n1"));
     CPPUNIT_ASSERT(!choice.crosses_regions);
   }
 
   void LeavesTheRegionOnlyForCallsThatWouldBeLate() {
-    Router router = AskingRouter();
-    RoutingRequest call = AskedCall();
+    Router router = MakeRouter();
+    RoutingRequest call = MakeRequest();
     const std::array slow{LoadOffer{BackendServerId("n0"), Duration(900000)}};
     call.target_left = Duration(1000000);
-    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kQueryTime).crosses_regions);
     call.target_left = Duration(500000);
     call.excluded = m_near;
-    CPPUNIT_ASSERT(router.ChooseAmong(call, slow, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(router.ChooseAmong(call, slow, kQueryTime).crosses_regions);
     call.may_cross_regions = false;
-    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kQueryTime).crosses_regions);
   }
 
   // Guards against a budget of the paid link that calls use up which stay in the region.
   void FarServerThatIsNotTakenCostsNoBytes() {
-    Router router = AskingRouter();
-    RoutingRequest call = AskedCall();
+    Router router = MakeRouter();
+    RoutingRequest call = MakeRequest();
     call.excluded = m_near;
     call.target_left = Duration(0);
     call.bytes = 5000;
     // Late, but still sooner than across the link.
     const std::array offers{LoadOffer{BackendServerId("n0"), Duration(20000)}};
     for (int index = 0; index < 10; ++index) {
-      CPPUNIT_ASSERT(!router.ChooseAmong(call, offers, kAskedAt).crosses_regions);
+      CPPUNIT_ASSERT(!router.ChooseAmong(call, offers, kQueryTime).crosses_regions);
     }
-    CPPUNIT_ASSERT(router.Choose(call, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(router.Choose(call, kQueryTime).crosses_regions);
   }
 
   // Guards against links that are all replaced when one server joins.
@@ -301,26 +301,26 @@
     Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
     router.SetDeclaration(SimulatedDeclaration(2, 0, 0), now);
-    const BackendServerId healed("n0");
+    const BackendServerId recovered("n0");
     const BackendServerId other("n1");
-    for (const BackendServerId& id : {healed, other}) {
+    for (const BackendServerId& id : {recovered, other}) {
       router.NoteLoad(id, IdleLoad(1), now);
       router.SetReachable(id, true, now);
     }
-    router.SetReachable(healed, false, now);
-    router.SetReachable(healed, true, now);
+    router.SetReachable(recovered, false, now);
+    router.SetReachable(recovered, true, now);
     RoutingRequest request{ServiceId("s"), false, true, 0, {}};
     CPPUNIT_ASSERT(router.Choose(request, now).server == other);
     request.idempotent = true;
-    CPPUNIT_ASSERT(router.Choose(request, now).server == healed);
-    router.NoteSent(healed, CallId{1}, 0, now);
+    CPPUNIT_ASSERT(router.Choose(request, now).server == recovered);
+    router.NoteSent(recovered, CallId{1}, 0, now);
     for (int call = 0; call < 50; ++call) {
       CPPUNIT_ASSERT(router.Choose(request, now).server == other);
     }
-    router.NoteEnded(healed, CallId{1}, AttemptResult::kAnswered, now);
+    router.NoteEnded(recovered, CallId{1}, AttemptResult::kAnswered, now);
     int chosen = 0;
     for (int call = 0; call < 1000; ++call) {
-      if (router.Choose(request, now).server == healed) ++chosen;
+      if (router.Choose(request, now).server == recovered) ++chosen;
     }
     CPPUNIT_ASSERT(chosen > 0 && chosen < 100);
   }
@@ -430,21 +430,21 @@
   }
 
  private:
-  static constexpr TimePoint kAskedAt{std::chrono::seconds(100)};
+  static constexpr TimePoint kQueryTime{std::chrono::seconds(100)};
 
   // A router with two near servers and a far one, all open, and room for one call on the paid link.
-  static Router AskingRouter() {
+  static Router MakeRouter() {
     Router router("adaptive", Place{BackendServerId("self"), RegionId("west"), DataCentreId("w")},
                   1);
-    router.SetDeclaration(SimulatedDeclaration(2, 1, 1000), kAskedAt);
+    router.SetDeclaration(SimulatedDeclaration(2, 1, 1000), kQueryTime);
     for (const char* server : {"n0", "n1", "f0"}) {
-      router.NoteLoad(BackendServerId(server), IdleLoad(1), kAskedAt);
-      router.SetReachable(BackendServerId(server), true, kAskedAt);
+      router.NoteLoad(BackendServerId(server), IdleLoad(1), kQueryTime);
+      router.SetReachable(BackendServerId(server), true, kQueryTime);
     }
     return router;
   }
 
-  static RoutingRequest AskedCall() {
+  static RoutingRequest MakeRequest() {
     RoutingRequest call{ServiceId("s"), true, true, 100, {}};
     call.target_left = std::chrono::milliseconds(500);
     return call;
--- a/tests/auto/policy/tst_sendguard.cpp
+++ b/tests/auto/policy/tst_sendguard.cpp
@@ -9,7 +9,7 @@
 constexpr Incarnation kOwner{7};
 constexpr std::uint64_t kNowUs = 1000000;
 constexpr std::uint64_t kExpiryUs = 2000000;
-constexpr std::uint64_t kForgottenUs = kExpiryUs + 10000001;  // 10 s after the expiry.
+constexpr std::uint64_t kAfterRetentionUs = kExpiryUs + 10000001;  // 10 s after the expiry.
 
 CallKey KeyOf(std::uint64_t call) {
   return {BackendServerId("ingress"), Incarnation{1}, CallId{call}};
@@ -79,11 +79,11 @@
     SendGuard guard(kOwner);
     guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
     // A second delivery after the expiry must not be answered with "not run".
-    guard.Sweep(kForgottenUs - 1);
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kForgottenUs - 1).ignore);
-    guard.Sweep(kForgottenUs);
+    guard.Sweep(kAfterRetentionUs - 1);
+    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kAfterRetentionUs - 1).ignore);
+    guard.Sweep(kAfterRetentionUs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, guard.Count());
-    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kForgottenUs).refusal ==
+    CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kAfterRetentionUs).refusal ==
                    Reason::kExpired);
   }
 
--- a/tests/auto/policy/tst_serverpacer.cpp
+++ b/tests/auto/policy/tst_serverpacer.cpp
@@ -29,7 +29,7 @@
   double per_second;
   OwnerPolicy without;
   OwnerPolicy with;
-  double least_gain;  // In time with the decision, as a multiple of those without.
+  double min_gain;  // In time with the decision, as a multiple of those without.
 };
 
 // The gains asked for are a fifth of what the models allow: 9 / 7 / 1.7 of the slots, and starts
@@ -59,7 +59,7 @@
   }
   CPPUNIT_ASSERT_MESSAGE(
       std::to_string(with) + " in time with the decision, " + std::to_string(without) + " without",
-      with >= without * row.least_gain);
+      with >= without * row.min_gain);
 }
 
 const test::TableTest<LoadRow> load_test("ServerPacerLoad", load_rows, TestLoad);
