--- a/tests/auto/policy/admissionsimulation.cpp
+++ b/tests/auto/policy/admissionsimulation.cpp
@@ -124,7 +124,9 @@
     m_result.used_slot_time += slot_time;
   }
 
-  using Event = std::tuple<TimePoint, bool, std::uint64_t>;  // Arrivals carry their priority.
+  // The time, whether it is an arrival, and the index of the priority that arrives or the id of the
+  // call that completes.
+  using Event = std::tuple<TimePoint, bool, std::uint64_t>;
 
   const SimulationOptions m_options;
   const std::span<const Demand> m_demands;
--- a/tests/auto/policy/atmostonceworld.cpp
+++ b/tests/auto/policy/atmostonceworld.cpp
@@ -11,7 +11,7 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// As at the ingress.
+// Time past the deadline until an ingress abandons an attempt, as in the ingress itself.
 constexpr milliseconds kDeadlineGrace{200};
 constexpr std::size_t kNodes = 4;
 constexpr std::size_t kSteps = 3000;
@@ -26,7 +26,8 @@
     Node& node = m_nodes.emplace_back();
     node.id = BackendServerId("s" + std::to_string(index));
     node.clock_offset = milliseconds(m_random.Below(1000000));
-    // Together with a caller's error this stays within the allowance.
+    // Within 0.9 s of the true time, as the callers' clocks are, so that the difference of the two
+    // stays within the allowance for clock error.
     node.wall_offset = milliseconds(m_random.Below(1800)) - milliseconds(900);
   }
   for (std::size_t index = 0; index < kNodes; ++index) Start(index, m_newest_version);
@@ -99,9 +100,9 @@
 }
 
 void AtMostOnceSimulation::Post(Message message) {
-  // Some messages are lost, some late, and some arrive twice, each after its own delay.
+  // Some messages are lost, some are delayed, and some arrive twice, each copy after its own delay.
   const std::size_t copies = OneIn(7) ? 0 : OneIn(7) ? 2 : 1;
-  // A connection ends with its process, so both copies can only reach the same one.
+  // A connection ends with its process, so both copies can only reach the same incarnation.
   if (copies == 2) message.only_for = m_nodes[message.to].incarnation;
   for (std::size_t copy = 0; copy < copies; ++copy) {
     const milliseconds delay(OneIn(6) ? m_random.Below(8000) : m_random.Below(80));
@@ -110,8 +111,8 @@
 }
 
 void AtMostOnceSimulation::ApplyRandomEvents() {
-  // One change at a time reaches the nodes one by one; the next waits until servers that were
-  // taken out know it (docs/at-most-once.md, assumptions).
+  // Each configuration change reaches the nodes one by one. The at-most-once guarantee assumes that
+  // the next change waits until the servers removed from the inventory have applied this one.
   if (OneIn(150) && RemovedServersAreUpToDate()) ++m_newest_version;
   for (std::size_t index = 0; index < kNodes; ++index) ApplyRandomNodeEvents(index);
 }
@@ -359,7 +360,7 @@
 
 void AtMostOnceSimulation::RefuseNotRun(std::size_t index, const CallKey& key, Reason reason) {
   Node& node = m_nodes[index];
-  // `key` may belong to the entry, which lives until the end of this function.
+  // `key` may refer to the entry itself, so the extracted entry is kept until the function returns.
   const auto refused = node.owned.extract(key);
   const OwnedEntry& entry = refused.mapped();
   const std::string& id = m_requests[entry.request].id;
--- a/tests/auto/policy/atmostonceworld.h
+++ b/tests/auto/policy/atmostonceworld.h
@@ -18,7 +18,7 @@
 
 namespace damaskhollow::test {
 
-// Faults that are put into the world to show that the explorer would see them.
+// A check that the simulated nodes leave out, to show that the simulation detects its absence.
 enum class InjectedFault {
   kNone,
   kNoExpiryCheck,
@@ -27,23 +27,27 @@
   kNoInventoryCheck,
 };
 
-// What went wrong in one run; empty when nothing did.
+// Violations of the at-most-once guarantee in one run, and counts that show that the run exercised
+// it.
 struct Violations {
   std::size_t ran_twice = 0;         // Non-idempotent requests that ran more than once.
-  std::size_t ran_when_not_run = 0;  // Sends that ran although their caller was told "not run".
-  std::size_t runs = 0;              // All runs, to show that the world does something.
-  std::size_t not_run_reports = 0;
-  std::size_t blocked_resends = 0;  // Resends that a registry kept from running.
+  std::size_t ran_when_not_run = 0;  // Sends that ran although reported as not run.
+  std::size_t runs = 0;              // All requests started by a server, repeats included.
+  std::size_t not_run_reports = 0;   // Sends reported to their caller as not run.
+  // Resends that a request registry refused or answered with a replay.
+  std::size_t blocked_resends = 0;
 
   bool Any() const { return ran_twice + ran_when_not_run > 0; }
 };
 
-// A small fleet on a simulated clock: ingresses, owners and callers that send again. Every message
-// may be lost, late or delivered twice, and every process may pause or restart, at each step.
+// Randomised simulation of a small fleet: callers that resend, and nodes that are both ingress and
+// owner, on a simulated clock. Any message may be lost, delayed or delivered twice, and at each
+// step any process may pause or restart. The same seed gives the same run.
 class AtMostOnceSimulation {
  public:
   AtMostOnceSimulation(std::uint64_t seed, InjectedFault injected_fault);
 
+  // Runs a fixed number of steps and returns what was observed.
   Violations Run();
 
  private:
@@ -62,7 +66,7 @@
     Kind kind = Kind::kCall;
     std::size_t from = 0;
     std::size_t to = 0;
-    Incarnation only_for;  // Of the receiver; 0 for any.
+    Incarnation only_for;  // The receiving incarnation; 0 for any.
     CallKey key;
     ExpiryStamp stamp;
     std::size_t request = 0;
@@ -75,14 +79,15 @@
     bool released = false;
   };
 
-  // What the world knows of a request; the nodes do not see it.
+  // The simulation's own record of a request; only the id is visible to the nodes.
   struct Request {
-    std::string id;  // Empty when the caller gave none.
+    std::string id;  // Empty if the caller set none.
     std::size_t sends = 0;
     std::size_t runs = 0;
-    bool may_send = true;  // Without an id: not sent yet, or the last send was not run.
+    bool may_send = true;  // For requests without an id: not sent yet, or last reported as not run.
   };
 
+  // A send that its ingress has no result for yet.
   struct Attempt {
     std::size_t request = 0;
     std::size_t owner = 0;
@@ -90,6 +95,8 @@
     TimePoint abandoned_at{};
   };
 
+  // A call that its owner has accepted. It may start once `pending_claims`, the servers that have
+  // not released its request id yet, is empty.
   struct OwnedEntry {
     std::size_t ingress = 0;
     std::size_t request = 0;
@@ -100,12 +107,12 @@
     std::uint64_t query = 0;
   };
 
-  // One process with both roles.
+  // A process that is both ingress and owner.
   struct Node {
     BackendServerId id;
     Incarnation incarnation;
     Duration clock_offset{};  // Of its monotonic clock.
-    Duration wall_offset{};
+    Duration wall_offset{};   // Of its wall clock.
     TimePoint paused_until{};
     std::uint64_t version = 0;
     OwnerClocks clocks;
@@ -114,7 +121,7 @@
     std::unique_ptr<SendGuard> guard;
     std::unique_ptr<RequestRegistry> registry;
     std::map<CallKey, OwnedEntry> owned;
-    std::multimap<TimePoint, Message> inbox;  // By arrival.
+    std::multimap<TimePoint, Message> inbox;  // By arrival time.
   };
 
   void Start(std::size_t index, std::uint64_t version);
--- a/tests/auto/policy/ownersimulation.h
+++ b/tests/auto/policy/ownersimulation.h
@@ -12,15 +12,17 @@
 
 namespace damaskhollow::test {
 
-// One backend server that slows down when it is nearly full and whose VM has noisy neighbours.
+// A backend server that slows down when it is nearly full, on a VM whose host other VMs load in
+// bursts.
 struct ServerModel {
   std::size_t slots = 9;
-  double nearly_full_factor = 1.0;  // From 8 of 9 slots on.
-  double burst_factor = 1.0;        // During a burst of a neighbour.
-  double burst_fraction = 0.0;      // Of the 300 ms periods that are bursts.
+  double nearly_full_factor = 1.0;  // Factor on service times, from 8 of 9 slots on.
+  double burst_factor = 1.0;        // Factor on service times during a burst.
+  double burst_fraction = 0.0;      // Fraction of the 300 ms periods that are bursts.
 };
 
-// Calls of one priority that arrive at random times.
+// Calls of one priority that arrive at random times, `per_second` on average. `target` and
+// `deadline` count from the arrival.
 struct LoadModel {
   std::size_t priority_index = 0;
   double per_second = 0.0;
@@ -29,22 +31,22 @@
   Duration deadline{};
 };
 
-// Which decisions the simulated owner takes.
+// Which of its pacing decisions the simulated owner applies.
 struct OwnerPolicy {
-  bool limits_in_flight = false;
-  bool holds_when_slow = false;
-  bool demotes_late_calls = false;
+  bool limits_in_flight = false;    // Leaves slots free if the server then completes more.
+  bool holds_when_slow = false;     // Holds calls back while the VM is slow.
+  bool demotes_late_calls = false;  // Passes on the calls' targets, so that late calls yield.
 };
 
-// What became of the calls of one priority.
+// Outcome counts of the calls of one priority; `late` ones completed after their target.
 struct LoadResult {
   std::size_t offered = 0;
   std::size_t in_time = 0;
   std::size_t late = 0;
 };
 
-// An owner with its queue and its backend server in simulated time, in steps of one millisecond.
-// The same seed gives the same run.
+// Simulates an owner with its admission queue and its backend server in steps of one millisecond.
+// Returns one result for each of `loads`, in their order. The same seed gives the same result.
 std::vector<LoadResult> SimulateOwner(const ServerModel& server,
                                       const std::vector<LoadModel>& loads,
                                       const OwnerPolicy& policy, Duration time, std::uint64_t seed);
--- a/tests/auto/policy/queueingsimulation.h
+++ b/tests/auto/policy/queueingsimulation.h
@@ -15,19 +15,19 @@
 
 namespace damaskhollow::test {
 
-// How a simulated server behaves from now on.
+// Injected behaviour of a simulated server.
 struct ServerBehaviour {
   double slowdown = 1.0;    // Factor on service times.
   bool fails_fast = false;  // Answers 500 after 1 ms.
 };
 
-// A declaration with one service "s" and `near` servers n0.. in region "west" and `far` servers
-// f0.. in region "east", nine slots each.
+// Returns a declaration of one service "s" with `near` servers (n0, n1, ...) in region "west" and
+// `far` servers (f0, f1, ...) in region "east", nine slots each.
 std::shared_ptr<const Declaration> SimulatedDeclaration(std::size_t near, std::size_t far,
                                                         std::size_t paid_link_bytes_per_second);
 
-// Several ingresses that send calls to servers with queues, in simulated time. The same seed gives
-// the same run.
+// Simulates ingresses, each with a Router of its own, that send calls to backend servers with FIFO
+// queues, in simulated time. All ingresses are in region "west". The same seed gives the same run.
 class QueueingSimulation {
  public:
   // Mean service time of a healthy server.
@@ -37,23 +37,27 @@
                      const std::shared_ptr<const Declaration>& declaration, std::size_t ingresses,
                      std::uint64_t seed);
 
+  // Applies to calls that start from now on.
   void SetBehaviour(std::size_t server, const ServerBehaviour& behaviour);
-  // A new process takes the server's place; its queue is lost.
+  // Replaces the server by a new process. Queued calls are lost without a response; running calls
+  // and calls already sent to the old process fail.
   void Restart(std::size_t server);
   void SetReachable(std::size_t server, bool reachable);
 
-  // Sends calls at random times, on average `per_second`, for `time`. Latencies and counts of
-  // earlier runs are forgotten.
+  // Sends calls for `time` with exponential inter-arrival times, `per_second` on average. Clears
+  // the latencies and counts of earlier runs first.
   void Run(Duration time, double per_second);
 
+  // Returns the given percentile, 0 to 1, of the latencies of this run's answered calls.
   Duration Percentile(double fraction) const;
-  // Calls sent to the server in this run.
+  // Returns the number of calls sent to the server in this run.
   std::size_t Sent(std::size_t server) const { return m_servers[server].sent; }
   std::size_t TotalSent() const;
+  // Returns the number of calls of this run that no server was chosen for, for this reason.
   std::size_t Refused(Reason reason) const;
   TimePoint Now() const { return m_now; }
 
-  // Bytes of each call; counted on the paid link for far servers.
+  // Size of each call in bytes; counts towards the paid link budget for far servers.
   static constexpr std::size_t kCallBytes = 2000;
 
  private:
@@ -62,7 +66,7 @@
     std::size_t server = 0;
     CallId id;
     TimePoint sent{};
-    std::uint64_t generation = 0;  // Of the server's process.
+    std::uint64_t generation = 0;  // Of the server process that the call was sent to.
   };
   struct Server {
     BackendServerId id;
--- a/tests/auto/policy/tst_admissionqueue.cpp
+++ b/tests/auto/policy/tst_admissionqueue.cpp
@@ -21,9 +21,9 @@
 using test::SimulationResult;
 
 constexpr TimePoint kStart{seconds(1000)};
-constexpr double kCapacityPerSecond = 450.0;  // Of 9 slots with 20 ms a call.
-constexpr double kShareTolerance = 0.05;      // The stated target.
-constexpr double kGoodputTarget = 0.95;       // Of full load, the stated target.
+constexpr double kCapacityPerSecond = 450.0;  // Calls of 20 ms on 9 slots.
+constexpr double kShareTolerance = 0.05;      // Specified deviation from the guaranteed share.
+constexpr double kGoodputTarget = 0.95;       // Specified goodput, as a fraction of capacity.
 
 std::vector<Priority> Priorities() {
   return {{PriorityId("clerk"), 0, milliseconds(300), milliseconds(300), 0.4, true},
@@ -31,7 +31,7 @@
           {PriorityId("export"), 2, milliseconds(2000), milliseconds(2000), 0.1, false}};
 }
 
-// Demand in units of the whole capacity.
+// Returns the demand of each priority, with `load` as a multiple of the server's capacity.
 std::array<Demand, 3> Demands(const std::array<double, 3>& load) {
   std::array<Demand, 3> demands;
   for (std::size_t index = 0; index < demands.size(); ++index) {
@@ -57,8 +57,8 @@
     FloodCase{"middle", {0.5, 10.0, 0.5}, 6, 0.8},
 };
 
-// A call may wait for the bound, and then for one slot to become free. The expected wait is derived
-// from shares of slot time, so it is held to their tolerance.
+// Returns the longest wait allowed: the queue bound, plus 20 ms for a slot to become free, plus a
+// tolerance of 1/20 because the expected wait is derived from shares of slot time.
 Duration LongestWait(const Priority& priority) {
   return priority.queue_bound + priority.queue_bound / 20 + milliseconds(20);
 }
@@ -68,7 +68,7 @@
   return {OwnedCallId{id}, priority, kStart + deadline, bytes};
 }
 
-// Makes the queue know a service time of 20 ms for a priority.
+// Runs one call through the queue so that it has a service time of 20 ms for the priority.
 void RecordServiceTime(AdmissionQueue& queue, std::size_t priority) {
   const OwnedCallId id{1000000 + priority};
   queue.Offer({id, priority, kStart + seconds(5), 1}, kStart - milliseconds(20));
@@ -101,7 +101,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against slots that idle, or that run work whose answer comes too late, while work waits.
+  // Guards against slots that are idle, or run calls that complete after their deadline, while
+  // other calls are queued.
   void KeepsGoodputInEveryFlood() {
     for (const FloodCase& row : kFloods) {
       const SimulationResult result = Run(row);
@@ -111,7 +112,7 @@
     }
   }
 
-  // Guards against a flood of one priority that takes from another what it is guaranteed.
+  // Guards against a flood of one priority that reduces another below its guaranteed share.
   void KeepsGuaranteedSharesInEveryFlood() {
     const std::vector<Priority> priorities = Priorities();
     for (const FloodCase& row : kFloods) {
@@ -126,7 +127,7 @@
     }
   }
 
-  // Guards against urgent work that waits behind a flood of the least urgent.
+  // Guards against urgent calls that are queued behind a flood of the least urgent ones.
   void ServesUrgentFirstInFloodOfLeastUrgent() {
     for (const FloodCase& row : kFloods) {
       if (row.load[2] < 10.0 || row.load[0] > 1.0) continue;
@@ -142,11 +143,11 @@
     }
   }
 
-  // Guards against a queue that grows beyond the time its calls may wait.
+  // Guards against a queue so long that calls wait beyond their queue bound.
   void BoundsWaitInEveryFlood() {
     const std::vector<Priority> priorities = Priorities();
     for (const FloodCase& row : kFloods) {
-      // With random arrivals and service times the expected wait is right only on average.
+      // With random arrivals and service times the expected wait is accurate only on average.
       if (row.service_jitter > 0.0) continue;
       const SimulationResult result = Run(row, 0.0);
       for (std::size_t index = 0; index < priorities.size(); ++index) {
@@ -160,7 +161,8 @@
     }
   }
 
-  // Guards against shares that are counted in calls: an export takes 10 times as long as a click.
+  // Guards against shares counted in calls instead of slot time: an export takes 10 times as long
+  // as a click.
   void KeepsGuaranteesWithUnequalServiceTimes() {
     const std::array<Demand, 3> demands{Demand{4500.0, milliseconds(20), seconds(5)},
                                         Demand{900.0, milliseconds(50), seconds(5)},
@@ -178,8 +180,8 @@
     }
   }
 
-  // Guards against guaranteed work that is refused because the queue of more urgent work is longer
-  // than its own bound.
+  // Guards against refusing calls within their guaranteed share because the queue of more urgent
+  // calls is longer than their own queue bound.
   void UrgentQueueIsNotAheadOfGuaranteedWork() {
     std::vector<Priority> priorities = Priorities();
     priorities[1].queue_bound = milliseconds(100);
@@ -200,7 +202,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{21}, queue.Load().queued);
   }
 
-  // Guards against calls that are queued although they cannot be served in time.
+  // Guards against admitting calls that cannot be served in time.
   void RefusesWhatCannotBeServedInTime() {
     struct Row {
       std::string_view name;
@@ -208,7 +210,7 @@
       Duration deadline;
       Reason reason;
     };
-    // One slot with 20 ms a call; the bound of the priority is 300 ms.
+    // One slot with 20 ms per call; the queue bound of the priority is 300 ms.
     const std::array rows{Row{"at once", 0, milliseconds(1), Reason::kNone},
                           Row{"within both", 5, milliseconds(200), Reason::kNone},
                           Row{"beyond the deadline", 5, milliseconds(110), Reason::kQueueFullTime},
@@ -226,7 +228,7 @@
     }
   }
 
-  // Guards against urgent calls that are refused because less urgent ones fill the queue.
+  // Guards against refusing urgent calls because less urgent ones fill the queue.
   void EvictsLeastUrgentWhenFull() {
     struct Row {
       std::string_view name;
@@ -259,13 +261,14 @@
     }
   }
 
-  // Guards against a flood of urgent work that voids a guarantee by filling the queue.
+  // Guards against a flood of urgent calls that fills the queue and so prevents other priorities
+  // from getting their guaranteed share.
   void EvictionLeavesGuaranteedRoom() {
     AdmissionQueue queue({.slots = 1, .queue_bytes = 1000000, .queue_count = 10}, Priorities());
     queue.Offer(CallOf(1, 0), kStart);
     queue.TakeDispatchable(kStart);
     for (std::uint64_t id = 2; id <= 21; ++id) queue.Offer(CallOf(id, 0), kStart);
-    // Of 10 places, 1 is kept for exports and 2 for browsing.
+    // Of 10 queue entries, 1 is reserved for exports and 2 for browsing.
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, queue.Load().queued);
     CPPUNIT_ASSERT(queue.Offer(CallOf(30, 2), kStart).refusal == Reason::kNone);
     CPPUNIT_ASSERT(queue.Offer(CallOf(31, 2), kStart).refusal == Reason::kQueueFullCount);
@@ -274,7 +277,7 @@
     CPPUNIT_ASSERT(urgent.evicted.empty());
   }
 
-  // Guards against queued calls that are lost without making room.
+  // Guards against evicting queued calls although the new call does not fit even then.
   void FailedEvictionChangesNothing() {
     std::vector<Priority> priorities = Priorities();
     for (Priority& priority : priorities) priority.guaranteed_share = 0.0;
@@ -297,7 +300,7 @@
     CPPUNIT_ASSERT((order == std::vector{OwnedCallId{2}, OwnedCallId{3}, OwnedCallId{4}}));
   }
 
-  // Guards against a limit that ignores shedding, leaves [1, slots], or never comes back.
+  // Guards against a limit that ignores shedding, leaves [1, slots], or never recovers.
   void AdaptsLimit() {
     AdmissionQueue queue({.slots = 9}, Priorities());
     std::uint64_t next = 1;
@@ -314,7 +317,7 @@
       return dispatched.size();
     };
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, run_round(SlotResult::kShed));
-    // All 9 were sent before the decrease, so they count once.
+    // All 9 were dispatched before the decrease, so they cause only one.
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, queue.Load().limit);
     for (int round = 0; round < 20; ++round) run_round(SlotResult::kShed);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.Load().limit);
@@ -328,14 +331,14 @@
     AdmissionQueue queue({.slots = 1}, Priorities());
     for (std::uint64_t id = 1; id <= 3; ++id) queue.Offer(CallOf(id, 0), kStart);
     queue.TakeDispatchable(kStart);
-    CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{1}));  // It runs.
+    CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{1}));  // It is running.
     CPPUNIT_ASSERT(queue.Cancel(OwnedCallId{2}));
     CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{2}));
     queue.NoteFinished(OwnedCallId{1}, SlotResult::kCompleted, kStart + milliseconds(1));
     CPPUNIT_ASSERT(queue.TakeDispatchable(kStart + milliseconds(1)) == std::vector{OwnedCallId{3}});
   }
 
-  // Guards against a process that wakes late and runs work that was given up meanwhile.
+  // Guards against a process that wakes up late and dispatches calls that have expired meanwhile.
   void NeverDispatchesExpiredCalls() {
     AdmissionQueue queue({.slots = 1}, Priorities());
     queue.Offer(CallOf(1, 0), kStart);
@@ -351,7 +354,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, queue.Load().queued);
   }
 
-  // Guards against calls that are lost, or counted under another priority, on a new configuration.
+  // Guards against calls that are lost or counted under another priority after a reconfiguration.
   void ReconfiguresWhileQueued() {
     std::vector<Priority> priorities = Priorities();
     AdmissionQueue queue({.slots = 2}, priorities);
@@ -360,7 +363,7 @@
     queue.Offer(CallOf(3, 0), kStart);
     queue.Offer(CallOf(4, 1), kStart);
     queue.Offer(CallOf(5, 2), kStart);
-    // Exports become the most urgent, browsing is gone, and one slot is left.
+    // Exports become the most urgent priority, browsing is removed, and one slot remains.
     const std::vector<Priority> changed{priorities[2], priorities[0]};
     queue.Reconfigure({.slots = 1}, changed);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, queue.Load().queued);
@@ -377,7 +380,7 @@
     CPPUNIT_ASSERT((order == std::vector{OwnedCallId{3}, OwnedCallId{4}, OwnedCallId{5}}));
   }
 
-  // Guards against a body that is larger than the queue may hold and is refused on an idle server.
+  // Guards against refusing a body larger than the queue's byte limit when the server is idle.
   void ServesLargeBodyAtOnceWhenIdle() {
     AdmissionQueue queue({.slots = 1, .queue_bytes = 1000}, Priorities());
     CPPUNIT_ASSERT(queue.Offer(CallOf(1, 0, seconds(5), 5000), kStart).refusal == Reason::kNone);
@@ -386,9 +389,9 @@
                    Reason::kQueueFullBytes);
   }
 
-  // Guards against calls that wait for a slot until their deadline although it can be told long
-  // before that they will not get one.
-  // Pattern: a flood that comes before the owner knows how long calls take.
+  // Guards against calls that stay queued until their deadline although it is predictable long
+  // before that they cannot start in time.
+  // Pattern: a flood that arrives before the owner has an estimate of the service time.
   void GivesUpWhatCannotBeStartedInTime() {
     constexpr std::size_t kSlots = 9;
     constexpr std::uint64_t kFlood = 600;
@@ -415,15 +418,17 @@
       if (now > kStart + kDeadline / 3) unservable_late += count;
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{kFlood}, run + unservable);
-    // When the running calls end is not known, so the last round of the slots is in doubt.
+    // The remaining time of running calls is unknown, so the calls of one round of the slots may be
+    // removed late.
     CPPUNIT_ASSERT(unservable_late <= kSlots);
-    // What the slots can start until 0.7 of a run before the deadline is not given up.
+    // Calls that can start up to 0.7 of the service time before the deadline are not removed.
     CPPUNIT_ASSERT(run >= kSlots * (kDeadline / kServiceTime - 1));
   }
 
-  // Guards against an estimate that refuses all calls of a priority and is therefore never renewed.
-  // Pattern: a route with long calls shares its priority with routes of short ones, on a server
-  // that is busy with less urgent work all the time.
+  // Guards against an estimate that makes the queue refuse all calls of a priority and is therefore
+  // never updated.
+  // Pattern: a route with long calls shares its priority with routes of short calls, on a server
+  // that is constantly busy with less urgent calls.
   void LongCallsDoNotShutOutShortOnesForGood() {
     constexpr milliseconds kLong{1200};
     constexpr milliseconds kShort{5};
--- a/tests/auto/policy/tst_atmostonce.cpp
+++ b/tests/auto/policy/tst_atmostonce.cpp
@@ -38,28 +38,28 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against any order of losses, delays, second deliveries, pauses, restarts, inventory
-  // changes and resends that runs a request twice or runs what was reported as not run.
+  // Guards against any sequence of lost, delayed and duplicated messages, pauses, restarts,
+  // inventory changes and resends that runs a request twice or runs one reported as not run.
   void RunsNoRequestTwice() {
     Violations sum;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const Violations found = AtMostOnceSimulation(seed, InjectedFault::kNone).Run();
-      const std::string message = "seed " + std::to_string(seed) + ": ran twice " +
-                                  std::to_string(found.ran_twice) + ", ran though not run " +
-                                  std::to_string(found.ran_when_not_run);
+      const std::string message =
+          "seed " + std::to_string(seed) + ": ran twice " + std::to_string(found.ran_twice) +
+          ", ran although reported as not run " + std::to_string(found.ran_when_not_run);
       CPPUNIT_ASSERT_MESSAGE(message, !found.Any());
       sum.runs += found.runs;
       sum.not_run_reports += found.not_run_reports;
       sum.blocked_resends += found.blocked_resends;
     }
     std::cout << "  seeds 1 to " << kSeeds << ": " << sum.runs << " runs, " << sum.not_run_reports
-              << " not-run answers, " << sum.blocked_resends << " resends stopped" << std::endl;
-    // A world in which nothing runs would prove nothing.
+              << " not-run reports, " << sum.blocked_resends << " resends stopped" << std::endl;
+    // A simulation in which no request ran would prove nothing.
     CPPUNIT_ASSERT(sum.runs > kSeeds && sum.not_run_reports > kSeeds &&
                    sum.blocked_resends > kSeeds);
   }
 
-  // Guards against an explorer that is too tame to find a fault.
+  // Guards against a simulation whose faults are too rare to detect a missing check.
   void ExplorerSeesMissingChecks() {
     for (const InjectedFaultCase& row : kInjectedFaultCases) {
       std::size_t seeds_with_violation = 0;
--- a/tests/auto/policy/tst_crashguard.cpp
+++ b/tests/auto/policy/tst_crashguard.cpp
@@ -27,7 +27,8 @@
   return digests;
 }
 
-// One event in the life of the digest "d" at one node.
+// A crash or completion of the request with digest "d", observed at this node or reported by owner
+// "a" or "b".
 enum class Event { kOwnCrash, kReportFromA, kReportFromB, kCompleted, kCompletedAtA };
 
 struct EvidenceCase {
@@ -102,13 +103,15 @@
   }
 }
 
-// Nodes whose servers crash when they run the digest "poison". Each has nine slots, which other
-// requests fill.
+// Nodes whose backend servers crash when they run the request with digest "poison". Each server has
+// nine slots, and other requests fill the remaining ones. Every node reports its crashes to all
+// others.
 class CrashingFleet {
  public:
   CrashingFleet(std::size_t nodes, std::uint64_t seed) : m_guards(nodes), m_random(seed) {}
 
-  // Sends the poison through one node to another beside `beside`; returns whether it was run.
+  // Sends the crashing request from `ingress` to `owner`, where the requests with the digests
+  // `concurrent` are in flight. Returns whether it ran.
   bool SendCrashingRequest(std::size_t ingress, std::size_t owner,
                            const std::vector<std::string>& concurrent, TimePoint now) {
     if (m_guards[ingress].IsBanned("poison", now)) return false;
@@ -117,7 +120,7 @@
     const bool crashing_is_suspect = m_guards[owner].IsSuspect("poison", now);
     for (const std::string& digest : concurrent) {
       if (m_guards[owner].IsBanned(digest, now)) continue;
-      // The gate keeps suspects apart.
+      // SuspectGate admits only one suspect at a time.
       if (crashing_is_suspect && m_guards[owner].IsSuspect(digest, now)) continue;
       in_flight.push_back(digest);
     }
@@ -187,12 +190,12 @@
     CPPUNIT_ASSERT(guard.IsBanned("d", kStart + std::chrono::seconds(299)));
     const TimePoint later = kStart + std::chrono::seconds(301);
     CPPUNIT_ASSERT(!guard.IsBanned("d", later) && !guard.IsSuspect("d", later));
-    // The count starts anew.
+    // The crash count starts again from zero.
     CPPUNIT_ASSERT(guard.NoteCrash(digest, later).empty());
     CPPUNIT_ASSERT(!guard.IsBanned("d", later));
   }
 
-  // Guards against a caller that resends a crashing request until all servers are down.
+  // Guards against a caller whose resends of a crashing request take down all servers.
   void BoundsCrashesOfResends() {
     for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
       CrashingFleet fleet(9, seed);
@@ -200,13 +203,13 @@
         const TimePoint now = kStart + std::chrono::seconds(resend);
         fleet.SendCrashingRequest(resend % 9, fleet.RandomOtherNode(resend % 9), {}, now);
       }
-      // Three crashes of one owner alone ban the request only there, and then one more is needed.
+      // Three crashes at one owner ban the request only there; a ban elsewhere takes one more.
       std::cout << "  seed " << seed << ": " << fleet.crashes << " crashes of 10 resends\n";
       CPPUNIT_ASSERT(fleet.crashes <= 4);
     }
   }
 
-  // Guards against banning requests that only ran beside the crashing one.
+  // Guards against banning requests that only ran at the same time as the crashing one.
   void SparesInnocents() {
     for (const std::uint64_t seed : {1U, 2U, 3U, 4U, 5U}) {
       CrashingFleet fleet(9, seed);
@@ -223,8 +226,8 @@
     }
   }
 
-  // Guards against banning a popular request that ran beside a crashing one on three servers before
-  // any of them had confirmed its crash.
+  // Guards against banning a frequent request that ran at the same time as a crashing one on three
+  // servers before any of them had confirmed its crash.
   void SparesPopularRequestInQuickSeries() {
     CrashGuard guard;
     const std::vector<std::string> in_flight{"poison", "popular"};
@@ -237,7 +240,7 @@
     CPPUNIT_ASSERT(!guard.IsBanned("popular", now));
   }
 
-  // Guards against a node that reports crashes of requests that are well.
+  // Guards against a node that falsely reports crashes of healthy requests.
   void WithstandsForgedFlood() {
     CrashGuard guard;
     const std::vector<std::string> running = Digests("well", 200);
@@ -253,7 +256,8 @@
     for (const std::string& digest : running) {
       CPPUNIT_ASSERT(!guard.IsBanned(digest, now) && !guard.IsSuspect(digest, now));
     }
-    // The rate leaves two forging nodes no more than their allowances.
+    // The rate limit bounds what two nodes with false reports can add: each an allowance of
+    // 64 entries and one more per second.
     CPPUNIT_ASSERT(guard.Size() <= std::size_t{2} * (64 + 9));
 
     CrashGuard other;
@@ -280,7 +284,7 @@
     CPPUNIT_ASSERT(!guard.IsSuspect(digests.front(), end));
   }
 
-  // Guards against a crash that blames two suspects.
+  // Guards against a crash that is attributed to two suspects.
   void KeepsSuspectsApart() {
     SuspectGate gate;
     const OwnedCallId first{1};
--- a/tests/auto/policy/tst_pausedetector.cpp
+++ b/tests/auto/policy/tst_pausedetector.cpp
@@ -12,8 +12,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against a paused process that acts on what it decided before, and against a slow tick
-  // that is taken for a pause.
+  // Guards against a process that acts on outdated decisions after a pause, and against a slow tick
+  // that is mistaken for a pause.
   void NoticesGaps() {
     struct Row {
       Duration gap;
--- a/tests/auto/policy/tst_requestregistry.cpp
+++ b/tests/auto/policy/tst_requestregistry.cpp
@@ -32,8 +32,8 @@
   return servers;
 }
 
-// A registry of the server at `position` in the order of homes of `request_id`. All other servers
-// have the present inventory in force since `current`.
+// Returns the registry of the server at `position` in the home order of `request_id`. All servers
+// have used the current inventory, version 7, since `current`.
 RequestRegistry RegistryAt(std::size_t position, std::string_view request_id,
                            WallTime current = kStarted, RegistryLimits limits = {}) {
   const BackendServerId self = HomeOrder(Servers(), request_id)[position];
@@ -79,7 +79,7 @@
   }
 
   // Guards against an inventory change that swaps the order of two servers: each would then wait
-  // for the other, or neither would ask.
+  // for the other, or neither would query the other.
   void OrderDoesNotDependOnOtherServers() {
     for (int token = 0; token < 50; ++token) {
       const std::string id = IdAt(kNow, std::to_string(token));
@@ -114,7 +114,8 @@
     CPPUNIT_ASSERT(choose(order, {}).refusal == Reason::kHomeUnreachable);
   }
 
-  // Guards against a second run after the home forgot the first, by age or by a restart.
+  // Guards against a second run after the home lost its record of the first, by age or by a
+  // restart.
   void AcceptsOnlyIdsThatItWouldRemember() {
     struct Row {
       std::string_view name;
@@ -147,7 +148,7 @@
     CPPUNIT_ASSERT(registry.Arrive("no id", kDigest, {}, kNow).reason == Reason::kRequestIdInvalid);
   }
 
-  // Guards against a wall clock that is set back after an id was forgotten.
+  // Guards against accepting an id again after its record was removed and the wall clock set back.
   void ClockSetBackDoesNotRenewForgottenIds() {
     const std::string id = IdAt(kNow);
     RequestRegistry registry = RegistryAt(0, id);
@@ -159,7 +160,7 @@
     CPPUNIT_ASSERT(registry.Release(id, kNow).reason == Reason::kRequestIdExpired);
   }
 
-  // Guards against the answer to one request being given to another with the same id.
+  // Guards against answering a request with the response to another request with the same id.
   void RefusesIdOfAnotherRequest() {
     const std::string id = IdAt(kNow);
     RequestRegistry registry = RegistryAt(0, id);
@@ -183,7 +184,7 @@
     const RequestDecision replay = registry.Arrive(id, kDigest, {}, kNow + minutes(1));
     CPPUNIT_ASSERT(replay.kind == Kind::kReplay);
     CPPUNIT_ASSERT_EQUAL(std::string("body"), replay.answer->body);
-    registry.NoteNotRun(id);  // A late refusal of another send must not make it forgotten.
+    registry.NoteNotRun(id);  // A late refusal of another send must not remove the record.
     CPPUNIT_ASSERT(registry.Arrive(id, kDigest, {}, kNow).kind == Kind::kReplay);
 
     const std::string failed = IdAt(kNow, "b");
@@ -203,12 +204,12 @@
       for (std::size_t higher = 0; higher < position; ++higher) {
         CPPUNIT_ASSERT(std::count(queried.begin(), queried.end(), order[higher]) == 1);
       }
-      // Until all have answered, nobody else gets the id.
+      // Until all have replied, the id is released to no other server.
       CPPUNIT_ASSERT(registry.Release(id, kNow).reason == Reason::kAlreadyRunning);
     }
   }
 
-  // Guards against two homes under two inventories.
+  // Guards against a request that runs at two homes because servers use different inventories.
   void AsksServersThatMayUseAnotherInventory() {
     const std::string id = IdAt(kNow);
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
@@ -221,7 +222,7 @@
       return servers;
     };
 
-    // A fresh node does not know which inventory the others use.
+    // A newly started node has no information on which inventory the others use.
     RequestRegistry fresh(order[0], kStarted);
     fresh.SetInventory(Servers(), 7, kStarted);
     CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
@@ -230,11 +231,12 @@
     fresh.NoteVersion(order[1], Incarnation{1}, 7, kStarted);
     CPPUNIT_ASSERT(queried(fresh, id) == std::vector{order[2]});
     fresh.NoteVersion(order[2], Incarnation{1}, 7, kNow - seconds(1));
-    CPPUNIT_ASSERT(queried(fresh, id) == std::vector{order[2]});  // The id may be older than that.
-    fresh.NoteVersion(order[1], Incarnation{2}, 0, kStarted);     // Restarted.
+    // The id may be older than the time since which that server has used the version.
+    CPPUNIT_ASSERT(queried(fresh, id) == std::vector{order[2]});
+    fresh.NoteVersion(order[1], Incarnation{2}, 0, kStarted);  // A restart.
     CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
 
-    // A server that was taken out of the inventory may not know it.
+    // A server that was removed from the inventory may not have applied that version yet.
     RequestRegistry registry = RegistryAt(0, id);
     registry.SetInventory(std::vector{order[0], order[1]}, 8, kNow - minutes(2));
     CPPUNIT_ASSERT(queried(registry, id) == all_lower);
@@ -243,13 +245,13 @@
     registry.NoteVersion(order[2], Incarnation{1}, 8, kNow - minutes(1));
     CPPUNIT_ASSERT(queried(registry, id).empty());
 
-    // A server that is ahead may have passed over the version that this node has.
+    // A server with a newer version may never have applied the version that this node uses.
     registry.NoteVersion(order[1], Incarnation{1}, 9, kNow - minutes(1));
     CPPUNIT_ASSERT(queried(registry, id) == std::vector{order[1]});
     registry.SetInventory(std::vector{order[0], order[1]}, 9, kNow - seconds(30));
     CPPUNIT_ASSERT(queried(registry, id).empty());
 
-    // A version without change of this service's inventory does not count.
+    // A version that leaves this service's inventory unchanged requires no further queries.
     registry.SetInventory(std::vector{order[0], order[1]}, 10, kNow);
     CPPUNIT_ASSERT(queried(registry, id).empty());
   }
@@ -284,7 +286,7 @@
     const ReleaseAnswer reply = ran.Release(id, kNow);
     CPPUNIT_ASSERT(!reply.released && reply.reason == Reason::kAlreadyRan);
 
-    // It may have run under the predecessor of a restarted process.
+    // The request may have run under the previous incarnation of a restarted process.
     RequestRegistry restarted(BackendServerId("s1"), kNow);
     CPPUNIT_ASSERT(restarted.Release(id, kNow + seconds(1)).reason == Reason::kHomeRestarted);
   }
@@ -307,7 +309,7 @@
     registry.NoteRan(second, {"", std::string(60, 'x')});
     CPPUNIT_ASSERT(registry.Arrive(first, kDigest, {}, kNow).reason == Reason::kAlreadyRan);
     CPPUNIT_ASSERT(registry.Arrive(second, kDigest, {}, kNow).kind == Kind::kReplay);
-    // Old entries make room.
+    // Expired entries make room for new ones.
     const WallTime later = kNow + minutes(11);
     const std::string large = IdAt(later, "4");
     CPPUNIT_ASSERT(registry.Arrive(large, kDigest, {}, later).kind == Kind::kAccept);
--- a/tests/auto/policy/tst_retrypolicy.cpp
+++ b/tests/auto/policy/tst_retrypolicy.cpp
@@ -37,7 +37,7 @@
   return failed;
 }
 
-// A failed attempt and the decision that must follow while the budget is full.
+// A failed attempt and the expected decision while the retry budget is full.
 struct DecisionCase {
   std::string_view name;
   Reason reason;
@@ -62,14 +62,14 @@
     DecisionCase{"third attempt", Reason::kDraining, true, true, 3, Reason::kDraining},
 };
 
-// A refused attempt and the decision on it.
+// A refused attempt and the expected decision.
 struct RefusalCase {
   std::string_view name;
   Reason reason;
   bool reached_server;
   std::size_t attempts;
   std::size_t refusals;
-  double retry_share;  // 0: no budget at all.
+  double retry_share;  // 0: no retry budget.
   Reason decision;
   bool refusals_are_free = true;
 };
@@ -84,7 +84,8 @@
                 Reason::kBackendShed},
     RefusalCase{"owners refused as often as they may", Reason::kQueueFullTime, false, 0,
                 kMaxRefusals, 0.5, Reason::kQueueFullTime},
-    // Pattern: one request has crashed three servers of four at once, and others meet their owners.
+    // Pattern: one request has crashed three servers of four at once, and the owners of these
+    // refuse other requests.
     RefusalCase{"owners without their servers, refusals cost", Reason::kBackendUnreachable, false,
                 0, 3, 0.0, Reason::kNone, false},
     RefusalCase{"owner refused, refusals cost, no budget", Reason::kQueueFullTime, false, 0, 1, 0.0,
@@ -107,14 +108,14 @@
 
 const test::TableTest<RefusalCase> refusal_test("RetryRefusal", kRefusalCases, TestRefusal);
 
-// A fleet whose nodes all want to repeat each call, at times with restarts, which fill budgets
-// anew.
+// A fleet whose nodes retry as much as their budgets allow. In some cases nodes restart, which
+// refills their budgets.
 struct FleetCase {
   std::string_view name;
   std::size_t nodes;
   double per_second;       // Calls to one service, by all nodes.
-  double retry_allowance;  // Repeats beside the share, as the platform's bound has it.
-  double restarted_share;  // Part of the nodes that restart at the same moment, twice.
+  double retry_allowance;  // Retries beyond the share, as in the platform's bound.
+  double restarted_share;  // Fraction of the nodes that restart at the same moment, twice.
 };
 
 constexpr std::array kFleetCases{
@@ -127,8 +128,9 @@
     FleetCase{"87 nodes, hardly any load, herd restart", 87, 5.0, 214.0, 0.55},
 };
 
-// In each window of 10 s the repeats stay within a fifth of that window's calls and the extra; the
-// platform's bound counts the calls of the fuller of neighbouring windows and is wider.
+// In each window of 10 s the retries must stay within a fifth of that window's calls plus the
+// allowance. The platform's bound is wider: it counts the calls of the busier of neighbouring
+// windows.
 void TestFleet(const FleetCase& row) {
   constexpr int kSteps = 400;  // Of 100 ms.
   constexpr int kWindow = 100;
@@ -152,7 +154,7 @@
       nodes[random.Below(nodes.size())].NoteFirstAttempt(budgets, now);
       calls[static_cast<std::size_t>(step)] += 1.0;
     }
-    if (step < kAccumulationSteps) continue;  // Nothing fails, and budgets are saved up.
+    if (step < kAccumulationSteps) continue;  // No call fails, so tokens accumulate.
     for (RetryBudget& node : nodes) {
       while (node.TakeRetry(budgets, now)) retries[static_cast<std::size_t>(step)] += 1.0;
     }
@@ -162,7 +164,7 @@
       return std::accumulate(counts.begin() + (end - kWindow), counts.begin() + end, 0.0);
     };
     const double bound = 0.2 * sum(calls) + row.retry_allowance;
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(sum(retries)) + " repeats, bound " +
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(sum(retries)) + " retries, bound " +
                                std::to_string(bound) + ", window ends at step " +
                                std::to_string(end),
                            sum(retries) <= bound);
@@ -171,7 +173,8 @@
 
 const test::TableTest<FleetCase> fleet_test("FleetRetryBudget", kFleetCases, TestFleet);
 
-// A chain in which the servers of service k call service k + 1 through an ingress of their own.
+// A chain of services: the servers of service k call service k + 1 through an ingress of their own.
+// From level `refusing_from` on, owners refuse sends with probability `refusal_rate`.
 class Chain {
  public:
   Chain(std::size_t depth, double refusal_rate, std::size_t refusing_from, std::uint64_t seed)
@@ -182,7 +185,7 @@
         attempts(depth),
         first_attempts(depth) {}
 
-  // Whether the call was answered below 500.
+  // Returns whether the call was answered with a status below 500.
   bool Call(std::size_t level, TimePoint now) {
     if (level == m_policies.size()) return true;
     m_policies[level].NoteFirstAttempt(TestService(), m_budgets, now);
@@ -190,7 +193,7 @@
     for (std::size_t sends = 1;; ++sends) {
       ++attempts[level];
       const bool refused = level >= m_refusing_from && m_random.Unit() < m_refusal_rate;
-      // A 5xx of the server, also one that it passes on from below, is its answer.
+      // A 5xx of the server counts as its response, also one passed on from the next level.
       if (!refused) return Call(level + 1, now);
       const Reason decision = m_policies[level].DecideRetry(
           MakeFailedAttempt(Reason::kQueueFullTime, true, true, sends), m_budgets, now);
@@ -226,7 +229,8 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against a second run of a call that may have run, and against useless retries.
+  // Guards against a second run of a non-idempotent call that may have run, and against retries
+  // that cannot succeed.
   void DecidesByReason() {
     for (const DecisionCase& row : kDecisionCases) {
       RetryPolicy policy;
@@ -276,14 +280,15 @@
     }
   }
 
-  // Guards against calling a request not run because there is no budget to try it again.
+  // Guards against reporting a request as not run because there is no budget to retry it.
   void AnswersUnknownWithoutBudget() {
     RetryPolicy policy;
     CPPUNIT_ASSERT(policy.DecideRetry(MakeFailedAttempt(Reason::kBackendClosed, false, true, 1),
                                       MakeBudgets(0.0, 0.0), kStart) == Reason::kBackendClosed);
   }
 
-  // Guards against refusing the calls in flight when one of several servers stops at once.
+  // Guards against a budget that is too small to retry the calls in flight when one of several
+  // servers stops abruptly.
   void SavesTokensForAStoppedServer() {
     RetryPolicy policy;
     const Budgets budgets = MakeBudgets(0.1, 0.05);
@@ -297,7 +302,7 @@
                               now) == Reason::kNone) {
       ++retries;
     }
-    // A tenth of the calls of ten seconds, and the floor.
+    // A tenth of the calls of 10 s, plus the floor.
     CPPUNIT_ASSERT(retries >= 450 && retries <= 520);
   }
 
@@ -356,7 +361,7 @@
       }
       std::size_t highest = 0;
       for (std::size_t level = 0; level < kDepth; ++level) {
-        // The share, the floor at the start and its refill over the 50 s.
+        // The budget share, plus the initial floor and its refill over the 50 s.
         CPPUNIT_ASSERT(chain.attempts[level] <=
                        chain.first_attempts[level] + chain.first_attempts[level] / 10 + 16);
         CPPUNIT_ASSERT(chain.first_attempts[level] <= kCalls);
--- a/tests/auto/policy/tst_router.cpp
+++ b/tests/auto/policy/tst_router.cpp
@@ -19,12 +19,13 @@
 constexpr std::array<std::uint64_t, 3> kSeeds{1, 20, 300};
 constexpr std::size_t kServers = 9;
 constexpr std::size_t kIngresses = 4;
-// 60 % of what nine servers with nine slots and 10 ms can do.
+// 60 % of the capacity of nine servers with nine slots and a mean service time of 10 ms.
 constexpr double kCallsPerSecond = 4860.0;
 constexpr std::chrono::seconds kWarmUp{15};
 constexpr std::chrono::seconds kRunTime{20};
 
-// The 99th percentile with `slowdown` on the first server, from the moment of the slowdown on.
+// Returns the 99th percentile of the latencies while the first server is slower by the factor
+// `slowdown`, counted from the start of the slowdown.
 Duration P99LatencyWithSlowServer(std::string_view strategy, double slowdown, std::uint64_t seed) {
   QueueingSimulation simulation(strategy, SimulatedDeclaration(kServers, 0, 0), kIngresses, seed);
   simulation.Run(kWarmUp, kCallsPerSecond);
@@ -83,7 +84,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against a slow server that drags the tail of the whole service.
+  // Guards against one slow server that raises the tail latency of the whole service.
   void KeepsTailWithOneSlowServer() {
     for (const std::uint64_t seed : kSeeds) {
       const Duration healthy = P99LatencyWithSlowServer("adaptive", 1.0, seed);
@@ -98,7 +99,7 @@
     }
   }
 
-  // Guards against taking fast errors for low latency.
+  // Guards against treating fast errors as low latency.
   void GivesFailFastServerFewCalls() {
     for (const std::uint64_t seed : kSeeds) {
       QueueingSimulation simulation("adaptive", SimulatedDeclaration(kServers, 0, 0), kIngresses,
@@ -112,13 +113,13 @@
       simulation.SetBehaviour(0, ServerBehaviour{});
       simulation.Run(std::chrono::seconds(100), kCallsPerSecond / 10);
       simulation.Run(kRunTime, kCallsPerSecond);
-      std::cout << "  seed " << seed << ": after it recovered " << ShareOf(simulation, 0) * 100
+      std::cout << "  seed " << seed << ": share after recovery " << ShareOf(simulation, 0) * 100
                 << " %\n";
       CPPUNIT_ASSERT(ShareOf(simulation, 0) > 0.05);
     }
   }
 
-  // Guards against a flood on a server whose caches are empty.
+  // Guards against full load on a restarted server whose caches are still empty.
   void RampsColdServer() {
     for (const std::uint64_t seed : kSeeds) {
       QueueingSimulation simulation("adaptive", SimulatedDeclaration(kServers, 0, 0), kIngresses,
@@ -140,12 +141,12 @@
     }
   }
 
-  // Guards against a surge on the paid link when a region comes back.
+  // Guards against exceeding the paid link budget when a region becomes reachable again.
   void KeepsPaidLinkBudgetAfterCut() {
     constexpr std::size_t kNear = 4;
     constexpr std::size_t kFar = 4;
-    constexpr std::size_t kBudget = 400000;  // Bytes a second of the region.
-    // Above what the near servers can do, so that every call would like to cross.
+    constexpr std::size_t kBudget = 400000;  // Bytes per second of the region.
+    // Above the capacity of the near servers, so that every call would prefer a far server.
     constexpr double kOverload = 4500.0;
     for (const std::uint64_t seed : kSeeds) {
       QueueingSimulation simulation("adaptive", SimulatedDeclaration(kNear, kFar, kBudget), kNear,
@@ -165,9 +166,9 @@
         for (std::size_t server = kNear; server < kNear + kFar; ++server) {
           crossed += simulation.Sent(server) * QueueingSimulation::kCallBytes;
         }
-        std::cout << "  seed " << seed << ": bytes across in second " << second << ": " << crossed
-                  << '\n';
-        // The full bucket of one second comes on top once.
+        std::cout << "  seed " << seed << ": bytes across regions in second " << second << ": "
+                  << crossed << '\n';
+        // The token bucket, full with the bytes of one second, adds to the first second.
         CPPUNIT_ASSERT(crossed <= kBudget * (second == 0 ? 2 : 1) + kBudget / 20);
         CPPUNIT_ASSERT(crossed > 0);
       }
@@ -227,14 +228,14 @@
     CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kQueryTime).crosses_regions);
   }
 
-  // Guards against a budget of the paid link that calls use up which stay in the region.
+  // Guards against charging the paid link budget for calls that stay in the region.
   void FarServerThatIsNotTakenCostsNoBytes() {
     Router router = MakeRouter();
     RoutingRequest call = MakeRequest();
     call.excluded = m_near;
     call.target_left = Duration(0);
     call.bytes = 5000;
-    // Late, but still sooner than across the link.
+    // Late, but still earlier than in the far region.
     const std::array offers{LoadOffer{BackendServerId("n0"), Duration(20000)}};
     for (int index = 0; index < 10; ++index) {
       CPPUNIT_ASSERT(!router.ChooseAmong(call, offers, kQueryTime).crosses_regions);
@@ -242,7 +243,7 @@
     CPPUNIT_ASSERT(router.Choose(call, kQueryTime).crosses_regions);
   }
 
-  // Guards against links that are all replaced when one server joins.
+  // Guards against replacing all connections of an ingress when one server joins.
   void KeepsSubsetStable() {
     constexpr std::size_t kFleet = 200;
     std::size_t changed = 0;
@@ -259,7 +260,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, SubsetWith(5, "node").size());
   }
 
-  // Guards against servers that no ingress uses.
+  // Guards against servers that are in the subset of no ingress or of too few.
   void SpreadsSubsetsEvenly() {
     constexpr std::size_t kFleet = 60;
     constexpr int kNodes = 600;
@@ -296,7 +297,7 @@
     }
   }
 
-  // Guards against sending many calls at once to a server whose link has just come back.
+  // Guards against sending many calls at once to a server that has just become reachable again.
   void TakesHealedServerBackByTrial() {
     Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
@@ -325,7 +326,7 @@
     CPPUNIT_ASSERT(chosen > 0 && chosen < 100);
   }
 
-  // Guards against a service without servers when the calls themselves are at fault.
+  // Guards against ejecting all servers of a service when the calls themselves cause the errors.
   void EjectsAtMostHalf() {
     Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     TimePoint now{std::chrono::seconds(1)};
@@ -347,7 +348,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, last_calls.size());
   }
 
-  // Guards against calls that use up their attempts on servers known to refuse connections.
+  // Guards against calls that use up their attempts on owners whose backend refuses connections.
   void AvoidsServersWithoutBackend() {
     Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
@@ -365,13 +366,13 @@
     for (int call = 0; call < 50; ++call) {
       CPPUNIT_ASSERT_EQUAL(std::string("n3"), router.Choose(request, now).server.Value());
     }
-    // Each is tried again after its suspension.
+    // Each server is eligible again after its suspension.
     CPPUNIT_ASSERT(router.Choose(request, now + std::chrono::milliseconds(300)).server !=
                    BackendServerId("n3"));
   }
 
-  // Guards against urgent calls that cross the paid link because less urgent ones, which they
-  // overtake at the owner, fill the near servers.
+  // Guards against urgent calls that cross the paid link because the near servers are full of less
+  // urgent calls, which urgent ones overtake in the owner's queue.
   void KeepsUrgentCallsNearDuringFlood() {
     const TimePoint now{std::chrono::seconds(1)};
     std::shared_ptr<const Declaration> declaration = SimulatedDeclaration(1, 1, 1000000);
@@ -393,7 +394,8 @@
     CPPUNIT_ASSERT(router.Choose(request, now).server == far.id);
   }
 
-  // Guards against scores that are mixed up when servers move between services and regions.
+  // Guards against subsets and scores of the wrong server when servers move between services and
+  // regions.
   void ReplacesServersOfASubset() {
     Router router("adaptive", Place{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
@@ -432,7 +434,8 @@
  private:
   static constexpr TimePoint kQueryTime{std::chrono::seconds(100)};
 
-  // A router with two near servers and a far one, all open, and room for one call on the paid link.
+  // Returns a router with two near servers and a far one, all reachable and idle, and a paid link
+  // budget that one call of more than 1000 bytes uses up.
   static Router MakeRouter() {
     Router router("adaptive", Place{BackendServerId("self"), RegionId("west"), DataCentreId("w")},
                   1);
@@ -444,6 +447,7 @@
     return router;
   }
 
+  // Returns a request of 100 bytes with 500 ms left to its target.
   static RoutingRequest MakeRequest() {
     RoutingRequest call{ServiceId("s"), true, true, 100, {}};
     call.target_left = std::chrono::milliseconds(500);
--- a/tests/auto/policy/tst_sendguard.cpp
+++ b/tests/auto/policy/tst_sendguard.cpp
@@ -9,7 +9,8 @@
 constexpr Incarnation kOwner{7};
 constexpr std::uint64_t kNowUs = 1000000;
 constexpr std::uint64_t kExpiryUs = 2000000;
-constexpr std::uint64_t kAfterRetentionUs = kExpiryUs + 10000001;  // 10 s after the expiry.
+// 1 us past the retention time of 10 s that follows the expiry.
+constexpr std::uint64_t kAfterRetentionUs = kExpiryUs + 10000001;
 
 CallKey KeyOf(std::uint64_t call) {
   return {BackendServerId("ingress"), Incarnation{1}, CallId{call}};
@@ -37,7 +38,7 @@
                    Reason::kWrongIncarnation);
   }
 
-  // Guards against a call that arrives after its ingress was told that it had not run.
+  // Guards against running a call that arrives after it was reported to its ingress as not run.
   void SettledCallNeverRuns() {
     SendGuard guard(kOwner);
     CPPUNIT_ASSERT(guard.Settle(KeyOf(1), kExpiryUs, kNowUs) == EndedCall::kNeverSeen);
@@ -49,7 +50,8 @@
   void SecondDeliveryNeverRuns() {
     SendGuard guard(kOwner);
     guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
-    guard.NoteCancelled(KeyOf(1), kExpiryUs, kNowUs);  // Too late to change what happened.
+    // Must not replace the record that the call ended.
+    guard.NoteCancelled(KeyOf(1), kExpiryUs, kNowUs);
     CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kNowUs).ignore);
     CPPUNIT_ASSERT(guard.Settle(KeyOf(1), kExpiryUs, kNowUs) == EndedCall::kMayHaveRun);
     guard.NoteRefused(KeyOf(2), kExpiryUs, kNowUs);
@@ -57,7 +59,7 @@
     CPPUNIT_ASSERT(guard.Settle(KeyOf(2), kExpiryUs, kNowUs) == EndedCall::kNotRun);
   }
 
-  // Guards against "not run" for a call that ran and whose tombstone was swept.
+  // Guards against reporting "not run" for a call that ran and whose tombstone was removed.
   void QueryAfterExpiryProvesNothing() {
     SendGuard guard(kOwner);
     guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
@@ -67,7 +69,8 @@
     }
   }
 
-  // Guards against "unknown" for a call that an owner can prove not to have run at its deadline.
+  // Guards against reporting "unknown" for a call of which the owner, queried at the deadline, can
+  // still prove that it has not run.
   void QueryJustAfterExpiryProvesNeverSeen() {
     SendGuard guard(kOwner);
     const std::uint64_t last_proof_us = kExpiryUs + kOwnerMemoryUs - 1;
@@ -78,7 +81,7 @@
   void ForgetsOnlyExpiredCalls() {
     SendGuard guard(kOwner);
     guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
-    // A second delivery after the expiry must not be answered with "not run".
+    // A second delivery after the expiry must not be reported as "not run".
     guard.Sweep(kAfterRetentionUs - 1);
     CPPUNIT_ASSERT(guard.Arrive(KeyOf(1), kOwner, kExpiryUs, kAfterRetentionUs - 1).ignore);
     guard.Sweep(kAfterRetentionUs);
@@ -87,8 +90,8 @@
                    Reason::kExpired);
   }
 
-  // Guards against memory that grows with a flood; calls that may have run are not forgotten for
-  // it.
+  // Guards against memory use that grows with a flood of refused calls. Records of calls that may
+  // have run are not evicted to make room.
   void BoundsRefusedCalls() {
     SendGuard guard(kOwner);
     guard.NoteEnded(KeyOf(1), kExpiryUs, kNowUs);
--- a/tests/auto/policy/tst_serverpacer.cpp
+++ b/tests/auto/policy/tst_serverpacer.cpp
@@ -17,31 +17,32 @@
 using test::OwnerPolicy;
 using test::ServerModel;
 
-// Page views of 160 ms that are to be answered within 600 ms and are cut off at 1,200 ms.
+// Page views of 160 ms with a target of 600 ms and a deadline of 1,200 ms.
 LoadModel PageViews(double per_second) {
   return {0, per_second, milliseconds(160), milliseconds(600), milliseconds(1200)};
 }
 
-// A load under which one decision serves callers better, by the part of calls that are in time.
+// A load under which one pacing decision must raise the number of calls answered in time.
 struct LoadRow {
   std::string_view name;
   ServerModel server;
   double per_second;
   OwnerPolicy without;
   OwnerPolicy with;
-  double min_gain;  // In time with the decision, as a multiple of those without.
+  double min_gain;  // Required ratio of calls in time, with the decision to without.
 };
 
-// The gains asked for are a fifth of what the models allow: 9 / 7 / 1.7 of the slots, and starts
-// that take four times as long in a quarter of the time.
+// The required gains are a fifth of what the models allow: a full server has only 9 / 7 / 1.7 of
+// the throughput of one with 7 of 9 slots in use, and calls that start in a burst, which is a
+// quarter of the time, take four times as long.
 const std::array load_rows{
-    // Pattern: more work than a server can do that slows down when it is nearly full.
+    // Pattern: overload of a server that slows down when it is nearly full.
     LoadRow{"flood on a server with a knee", ServerModel{9, 1.7, 1.0, 0.0}, 48.0,
             OwnerPolicy{false, false, true}, OwnerPolicy{true, false, true}, 1.05},
-    // Pattern: bursts of a VM's neighbours, which a call keeps the pace of.
+    // Pattern: bursts of other VMs on the host; a call that starts in a burst is slow to its end.
     LoadRow{"bursts of neighbours", ServerModel{9, 1.0, 4.0, 0.25}, 20.0,
             OwnerPolicy{false, false, true}, OwnerPolicy{false, true, true}, 1.05},
-    // Pattern: a flood in which each call would be served a little too late.
+    // Pattern: a flood in which each call would be answered shortly after its target.
     LoadRow{"flood that makes all calls late", ServerModel{9, 1.0, 1.0, 0.0}, 75.0,
             OwnerPolicy{false, false, false}, OwnerPolicy{false, false, true}, 1.2},
 };
@@ -74,7 +75,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against slots that stay free for good on servers that do not slow down.
+  // Guards against slots left free permanently on servers that do not slow down when nearly full.
   void FillsAServerWithoutKnee() {
     ServerPacer pacer;
     const PriorityId priority("normal");
@@ -85,7 +86,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, pacer.MostInFlight(9));
   }
 
-  // Guards against a server that is slow for good and gets no work.
+  // Guards against a permanently slow server that receives no calls.
   void LastingSlownessIsNotWaitedFor() {
     ServerPacer pacer;
     const PriorityId priority("normal");
