--- a/tests/auto/policy/queueingsimulation.cpp
+++ b/tests/auto/policy/queueingsimulation.cpp
@@ -56,9 +56,9 @@
     m_servers.push_back(std::move(server));
   }
   for (std::size_t index = 0; index < ingresses; ++index) {
-    const Place place{BackendServerId("ingress" + std::to_string(index)), RegionId("west"),
-                      DataCentreId("west-1")};
-    Router& router = m_ingresses.emplace_back(strategy, place, m_random.Next());
+    const Place location{BackendServerId("ingress" + std::to_string(index)), RegionId("west"),
+                         DataCentreId("west-1")};
+    Router& router = m_ingresses.emplace_back(strategy, location, m_random.Next());
     router.SetDeclaration(declaration, m_now);
     for (const Server& server : m_servers) {
       router.NoteLoad(server.id, LoadOf(server), m_now);
--- a/tests/auto/policy/tst_router.cpp
+++ b/tests/auto/policy/tst_router.cpp
@@ -39,8 +39,8 @@
 }
 
 std::vector<BackendServerId> SubsetWith(std::size_t servers, const std::string& node) {
-  const Place place{BackendServerId(node), RegionId("west"), DataCentreId("west-1")};
-  Router router("adaptive", place, 1);
+  const Place location{BackendServerId(node), RegionId("west"), DataCentreId("west-1")};
+  Router router("adaptive", location, 1);
   router.SetDeclaration(SimulatedDeclaration(servers, 0, 0), TimePoint{});
   return router.SubsetOf(ServiceId("s"));
 }
