--- a/tests/auto/policy/atmostonceworld.h
+++ b/tests/auto/policy/atmostonceworld.h
@@ -18,8 +18,8 @@
 
 namespace damaskhollow::test {
 
-// Faults that are put into the world to show that the explorer would see them.
-enum class Sabotage {
+// A check that the simulated nodes leave out, to show that the simulation detects its absence.
+enum class InjectedFault {
   kNone,
   kNoExpiryCheck,
   kNoTombstoneCheck,
@@ -27,23 +27,27 @@
   kNoInventoryCheck,
 };
 
-// What went wrong in one run; empty when nothing did.
+// Violations of the at-most-once guarantee in one run, and counts that show that the run exercised
+// it.
 struct Violations {
   std::size_t ran_twice = 0;         // Non-idempotent requests that ran more than once.
-  std::size_t ran_when_not_run = 0;  // Sends that ran although their caller was told "not run".
-  std::size_t runs = 0;              // All runs, to show that the world does something.
-  std::size_t not_run_answers = 0;
-  std::size_t duplicate_ids_stopped = 0;  // Resends that a registry kept from running.
+  std::size_t ran_when_not_run = 0;  // Sends that ran although reported as not run.
+  std::size_t runs = 0;              // All requests started by a server, repeats included.
+  std::size_t not_run_reports = 0;   // Sends reported to their caller as not run.
+  // Resends that a request registry refused or answered with a replay.
+  std::size_t blocked_resends = 0;
 
   bool Any() const { return ran_twice + ran_when_not_run > 0; }
 };
 
-// A small fleet on a simulated clock: ingresses, owners and callers that send again. Every message
-// may be lost, late or delivered twice, and every process may pause or restart, at each step.
-class AtMostOnceWorld {
+// Randomised simulation of a small fleet: callers that resend, and nodes that are both ingress and
+// owner, on a simulated clock. Any message may be lost, delayed or delivered twice, and at each
+// step any process may pause or restart. The same seed gives the same run.
+class AtMostOnceSimulation {
  public:
-  AtMostOnceWorld(std::uint64_t seed, Sabotage sabotage);
+  AtMostOnceSimulation(std::uint64_t seed, InjectedFault injected_fault);
 
+  // Runs a fixed number of steps and returns what was observed.
   Violations Run();
 
  private:
@@ -55,14 +59,14 @@
     kRefused,
     kAnswered,
     kClaim,
-    kClaimAnswer,
+    kClaimReply,
   };
 
   struct Message {
     Kind kind = Kind::kCall;
     std::size_t from = 0;
     std::size_t to = 0;
-    Incarnation only_for;  // Of the receiver; 0 for any.
+    Incarnation only_for;  // The receiving incarnation; 0 for any.
     CallKey key;
     ExpiryStamp stamp;
     std::size_t request = 0;
@@ -75,37 +79,40 @@
     bool released = false;
   };
 
-  // What the world knows of a request; the nodes do not see it.
+  // The simulation's own record of a request; only the id is visible to the nodes.
   struct Request {
-    std::string id;  // Empty when the caller gave none.
+    std::string id;  // Empty if the caller set none.
     std::size_t sends = 0;
     std::size_t runs = 0;
-    bool may_send = true;  // Without an id: not sent yet, or the last send was not run.
+    bool may_send = true;  // For requests without an id: not sent yet, or last reported as not run.
   };
 
+  // A send that its ingress has no result for yet.
   struct Attempt {
     std::size_t request = 0;
     std::size_t owner = 0;
     ExpiryStamp stamp;
-    TimePoint given_up_at{};
+    TimePoint abandoned_at{};
   };
 
+  // A call that its owner has accepted. It may start once `pending_claims`, the servers that have
+  // not released its request id yet, is empty.
   struct OwnedEntry {
     std::size_t ingress = 0;
     std::size_t request = 0;
     ExpiryStamp stamp;
     bool running = false;
     TimePoint done_at{};
-    std::set<BackendServerId> awaited;
+    std::set<BackendServerId> pending_claims;
     std::uint64_t query = 0;
   };
 
-  // One process with both roles.
+  // A process that is both ingress and owner.
   struct Node {
     BackendServerId id;
     Incarnation incarnation;
     Duration clock_offset{};  // Of its monotonic clock.
-    Duration wall_offset{};
+    Duration wall_offset{};   // Of its wall clock.
     TimePoint paused_until{};
     std::uint64_t version = 0;
     OwnerClocks clocks;
@@ -114,21 +121,21 @@
     std::unique_ptr<SendGuard> guard;
     std::unique_ptr<RequestRegistry> registry;
     std::map<CallKey, OwnedEntry> owned;
-    std::multimap<TimePoint, Message> inbox;  // By arrival.
+    std::multimap<TimePoint, Message> inbox;  // By arrival time.
   };
 
   void Start(std::size_t index, std::uint64_t version);
   void ApplyVersion(std::size_t index, std::uint64_t version);
   std::vector<BackendServerId> Inventory(std::uint64_t version) const;
-  bool RemovedServersKnow() const;
+  bool RemovedServersAreUpToDate() const;
   TimePoint ClockOf(const Node& node) const { return m_now + node.clock_offset; }
-  WallTime WallOf(const Node& node) const;
+  WallTime WallTimeOf(const Node& node) const;
   bool OneIn(std::size_t count) { return m_random.Below(count) == 0; }
 
   void Post(Message message);
-  void Disturb();
-  void DisturbNode(std::size_t index);
-  void CallersSend();
+  void ApplyRandomEvents();
+  void ApplyRandomNodeEvents(std::size_t index);
+  void SendFromCallers();
   void SendCall(std::size_t ingress, std::size_t request);
   void Handle(std::size_t index, const Message& message);
   void HandleCall(std::size_t index, const Message& message);
@@ -136,24 +143,24 @@
   void HandleStatusQuery(std::size_t index, const Message& message);
   void HandleStatusResult(std::size_t index, const Message& message);
   void HandleRefused(std::size_t index, const Message& message);
-  void HandleClaimAnswer(std::size_t index, const Message& message);
-  Message AnswerTo(std::size_t index, const Message& question, Kind kind) const;
-  void RefuseUnrun(std::size_t index, const CallKey& key, Reason reason);
+  void HandleClaimReply(std::size_t index, const Message& message);
+  Message MakeReply(std::size_t index, const Message& original, Kind kind) const;
+  void RefuseNotRun(std::size_t index, const CallKey& key, Reason reason);
   void Refuse(std::size_t index, std::size_t ingress, const CallKey& key,
               std::uint64_t expires_at_us, Reason reason);
   void Advance(std::size_t index);
   void AdvanceOwned(std::size_t index, const CallKey& key);
   void QueryAttempts(std::size_t index);
   void RunRequest(const CallKey& key, std::size_t request);
-  void TellNotRun(const CallKey& key, std::size_t request);
+  void ReportNotRun(const CallKey& key, std::size_t request);
 
-  const Sabotage m_sabotage;
+  const InjectedFault m_injected_fault;
   RandomSource m_random;
   TimePoint m_now{std::chrono::seconds(1000)};
   std::vector<Node> m_nodes;
   std::vector<Request> m_requests;
-  std::set<CallKey> m_run;
-  std::set<CallKey> m_told_not_run;
+  std::set<CallKey> m_executed;
+  std::set<CallKey> m_reported_not_run;
   std::uint64_t m_newest_version = 1;
   std::uint64_t m_next_incarnation = 1;
   std::uint64_t m_next_query = 1;
--- a/tests/auto/policy/tst_admissionqueue.cpp
+++ b/tests/auto/policy/tst_admissionqueue.cpp
@@ -15,15 +15,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using test::Demand;
-using test::Served;
+using test::PriorityStatistics;
 using test::SimulateAdmission;
 using test::SimulationOptions;
 using test::SimulationResult;
 
 constexpr TimePoint kStart{seconds(1000)};
-constexpr double kCapacityPerSecond = 450.0;  // Of 9 slots with 20 ms a call.
-constexpr double kShareTolerance = 0.05;      // The stated target.
-constexpr double kGoodputTarget = 0.95;       // Of full load, the stated target.
+constexpr double kCapacityPerSecond = 450.0;  // Calls of 20 ms on 9 slots.
+constexpr double kShareTolerance = 0.05;      // Specified deviation from the guaranteed share.
+constexpr double kGoodputTarget = 0.95;       // Specified goodput, as a fraction of capacity.
 
 std::vector<Priority> Priorities() {
   return {{PriorityId("clerk"), 0, milliseconds(300), milliseconds(300), 0.4, true},
@@ -31,7 +31,7 @@
           {PriorityId("export"), 2, milliseconds(2000), milliseconds(2000), 0.1, false}};
 }
 
-// Demand in units of the whole capacity.
+// Returns the demand of each priority, with `load` as a multiple of the server's capacity.
 std::array<Demand, 3> Demands(const std::array<double, 3>& load) {
   std::array<Demand, 3> demands;
   for (std::size_t index = 0; index < demands.size(); ++index) {
@@ -57,8 +57,8 @@
     FloodCase{"middle", {0.5, 10.0, 0.5}, 6, 0.8},
 };
 
-// A call may wait for the bound, and then for one slot to become free. The expected wait is derived
-// from shares of slot time, so it is held to their tolerance.
+// Returns the longest wait allowed: the queue bound, plus 20 ms for a slot to become free, plus a
+// tolerance of 1/20 because the expected wait is derived from shares of slot time.
 Duration LongestWait(const Priority& priority) {
   return priority.queue_bound + priority.queue_bound / 20 + milliseconds(20);
 }
@@ -68,8 +68,8 @@
   return {OwnedCallId{id}, priority, kStart + deadline, bytes};
 }
 
-// Makes the queue know a service time of 20 ms for a priority.
-void Teach(AdmissionQueue& queue, std::size_t priority) {
+// Runs one call through the queue so that it has a service time of 20 ms for the priority.
+void RecordServiceTime(AdmissionQueue& queue, std::size_t priority) {
   const OwnedCallId id{1000000 + priority};
   queue.Offer({id, priority, kStart + seconds(5), 1}, kStart - milliseconds(20));
   queue.PopDispatchable(kStart - milliseconds(20));
@@ -101,17 +101,18 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against slots that idle, or that run work whose answer comes too late, while work waits.
+  // Guards against slots that are idle, or run calls that complete after their deadline, while
+  // other calls are queued.
   void KeepsGoodputInEveryFlood() {
     for (const FloodCase& row : kFloods) {
       const SimulationResult result = Run(row);
-      const std::string seen =
+      const std::string message =
           std::string(row.name) + ": goodput " + std::to_string(result.used_slot_time);
-      CPPUNIT_ASSERT_MESSAGE(seen, result.used_slot_time >= kGoodputTarget);
+      CPPUNIT_ASSERT_MESSAGE(message, result.used_slot_time >= kGoodputTarget);
     }
   }
 
-  // Guards against a flood of one priority that takes from another what it is guaranteed.
+  // Guards against a flood of one priority that reduces another below its guaranteed share.
   void KeepsGuaranteedSharesInEveryFlood() {
     const std::vector<Priority> priorities = Priorities();
     for (const FloodCase& row : kFloods) {
@@ -119,47 +120,49 @@
       for (std::size_t index = 0; index < priorities.size(); ++index) {
         const double entitled = std::min(priorities[index].guaranteed_share, row.load[index]);
         const double share = result.priorities[index].slot_time_share;
-        const std::string seen = std::string(row.name) + ": " + priorities[index].id.Value() +
-                                 " has share " + std::to_string(share);
-        CPPUNIT_ASSERT_MESSAGE(seen, share >= entitled * (1.0 - kShareTolerance));
+        const std::string message = std::string(row.name) + ": " + priorities[index].id.Value() +
+                                    " has share " + std::to_string(share);
+        CPPUNIT_ASSERT_MESSAGE(message, share >= entitled * (1.0 - kShareTolerance));
       }
     }
   }
 
-  // Guards against urgent work that waits behind a flood of the least urgent.
+  // Guards against urgent calls that are queued behind a flood of the least urgent ones.
   void ServesUrgentFirstInFloodOfLeastUrgent() {
     for (const FloodCase& row : kFloods) {
       if (row.load[2] < 10.0 || row.load[0] > 1.0) continue;
       const SimulationResult result = Run(row);
       for (std::size_t index = 0; index < 2; ++index) {
-        const Served& served = result.priorities[index];
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, served.refused);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, served.evicted);
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, served.expired);
+        const PriorityStatistics& statistics = result.priorities[index];
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, statistics.refused);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, statistics.evicted);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0}, statistics.expired);
       }
       CPPUNIT_ASSERT_EQUAL_MESSAGE(std::string(row.name), std::size_t{0},
                                    result.priorities[0].overtaken);
     }
   }
 
-  // Guards against a queue that grows beyond the time its calls may wait.
+  // Guards against a queue so long that calls wait beyond their queue bound.
   void BoundsWaitInEveryFlood() {
     const std::vector<Priority> priorities = Priorities();
     for (const FloodCase& row : kFloods) {
-      // With random arrivals and service times the expected wait is right only on average.
+      // With random arrivals and service times the expected wait is accurate only on average.
       if (row.service_jitter > 0.0) continue;
       const SimulationResult result = Run(row, 0.0);
       for (std::size_t index = 0; index < priorities.size(); ++index) {
-        const Served& served = result.priorities[index];
-        const std::string seen = std::string(row.name) + ": " + priorities[index].id.Value() +
-                                 " waited " + std::to_string(served.longest_wait.count()) + " us";
-        CPPUNIT_ASSERT_MESSAGE(seen, served.longest_wait <= LongestWait(priorities[index]));
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(seen, std::size_t{0}, served.expired);
+        const PriorityStatistics& statistics = result.priorities[index];
+        const std::string message = std::string(row.name) + ": " + priorities[index].id.Value() +
+                                    " waited " + std::to_string(statistics.longest_wait.count()) +
+                                    " us";
+        CPPUNIT_ASSERT_MESSAGE(message, statistics.longest_wait <= LongestWait(priorities[index]));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(message, std::size_t{0}, statistics.expired);
       }
     }
   }
 
-  // Guards against shares that are counted in calls: an export takes 10 times as long as a click.
+  // Guards against shares counted in calls instead of slot time: an export takes 10 times as long
+  // as a click.
   void KeepsGuaranteesWithUnequalServiceTimes() {
     const std::array<Demand, 3> demands{Demand{4500.0, milliseconds(20), seconds(5)},
                                         Demand{900.0, milliseconds(50), seconds(5)},
@@ -168,7 +171,7 @@
     SimulationOptions options;
     options.seed = 7;
     options.service_jitter = 0.5;
-    options.measured = seconds(60);
+    options.measurement_time = seconds(60);
     const SimulationResult result = SimulateAdmission(options, priorities, demands);
     for (std::size_t index = 0; index < priorities.size(); ++index) {
       const double share = result.priorities[index].slot_time_share;
@@ -177,8 +180,8 @@
     }
   }
 
-  // Guards against guaranteed work that is refused because the queue of more urgent work is longer
-  // than its own bound.
+  // Guards against refusing calls within their guaranteed share because the queue of more urgent
+  // calls is longer than their own queue bound.
   void UrgentQueueIsNotAheadOfGuaranteedWork() {
     std::vector<Priority> priorities = Priorities();
     priorities[1].queue_bound = milliseconds(100);
@@ -199,7 +202,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{21}, queue.Load().queued);
   }
 
-  // Guards against calls that are queued although they cannot be served in time.
+  // Guards against admitting calls that cannot be served in time.
   void RefusesWhatCannotBeServedInTime() {
     struct Row {
       std::string_view name;
@@ -207,14 +210,14 @@
       Duration deadline;
       Reason reason;
     };
-    // One slot with 20 ms a call; the bound of the priority is 300 ms.
+    // One slot with 20 ms per call; the queue bound of the priority is 300 ms.
     const std::array rows{Row{"at once", 0, milliseconds(1), Reason::kNone},
                           Row{"within both", 5, milliseconds(200), Reason::kNone},
                           Row{"beyond the deadline", 5, milliseconds(110), Reason::kQueueFullTime},
                           Row{"beyond the bound", 20, seconds(5), Reason::kQueueFullTime}};
     for (const Row& row : rows) {
       AdmissionQueue queue({.slots = 1}, Priorities());
-      Teach(queue, 0);
+      RecordServiceTime(queue, 0);
       for (std::uint64_t id = 1; id <= row.ahead; ++id) {
         queue.Offer(CallOf(id, 0), kStart);
         queue.PopDispatchable(kStart);
@@ -225,7 +228,7 @@
     }
   }
 
-  // Guards against urgent calls that are refused because less urgent ones fill the queue.
+  // Guards against refusing urgent calls because less urgent ones fill the queue.
   void EvictsLeastUrgentWhenFull() {
     struct Row {
       std::string_view name;
@@ -258,13 +261,14 @@
     }
   }
 
-  // Guards against a flood of urgent work that voids a guarantee by filling the queue.
+  // Guards against a flood of urgent calls that fills the queue and so prevents other priorities
+  // from getting their guaranteed share.
   void EvictionLeavesGuaranteedRoom() {
     AdmissionQueue queue({.slots = 1, .queue_bytes = 1000000, .queue_count = 10}, Priorities());
     queue.Offer(CallOf(1, 0), kStart);
     queue.PopDispatchable(kStart);
     for (std::uint64_t id = 2; id <= 21; ++id) queue.Offer(CallOf(id, 0), kStart);
-    // Of 10 places, 1 is kept for exports and 2 for browsing.
+    // Of 10 queue entries, 1 is reserved for exports and 2 for browsing.
     CPPUNIT_ASSERT_EQUAL(std::size_t{7}, queue.Load().queued);
     CPPUNIT_ASSERT(queue.Offer(CallOf(30, 2), kStart).refusal == Reason::kNone);
     CPPUNIT_ASSERT(queue.Offer(CallOf(31, 2), kStart).refusal == Reason::kQueueFullCount);
@@ -273,7 +277,7 @@
     CPPUNIT_ASSERT(urgent.evicted.empty());
   }
 
-  // Guards against queued calls that are lost without making room.
+  // Guards against evicting queued calls although the new call does not fit even then.
   void FailedEvictionChangesNothing() {
     std::vector<Priority> priorities = Priorities();
     for (Priority& priority : priorities) priority.guaranteed_share = 0.0;
@@ -296,7 +300,7 @@
     CPPUNIT_ASSERT((order == std::vector{OwnedCallId{2}, OwnedCallId{3}, OwnedCallId{4}}));
   }
 
-  // Guards against a limit that ignores shedding, leaves [1, slots], or never comes back.
+  // Guards against a limit that ignores shedding, leaves [1, slots], or never recovers.
   void AdaptsLimit() {
     AdmissionQueue queue({.slots = 9}, Priorities());
     std::uint64_t next = 1;
@@ -305,15 +309,15 @@
       for (int count = 0; count < 20; ++count) {
         queue.Offer({OwnedCallId{next++}, 0, now + seconds(5), 1}, now);
       }
-      const std::vector<OwnedCallId> taken = queue.PopDispatchable(now);
+      const std::vector<OwnedCallId> dispatched = queue.PopDispatchable(now);
       now += milliseconds(20);
-      for (const OwnedCallId id : taken) queue.OnCallFinished(id, result, now);
+      for (const OwnedCallId id : dispatched) queue.OnCallFinished(id, result, now);
       now += seconds(6);
       queue.PopExpired(now);
-      return taken.size();
+      return dispatched.size();
     };
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, run_round(SlotResult::kShed));
-    // All 9 were sent before the decrease, so they count once.
+    // All 9 were dispatched before the decrease, so they cause only one.
     CPPUNIT_ASSERT_EQUAL(std::size_t{6}, queue.Load().limit);
     for (int round = 0; round < 20; ++round) run_round(SlotResult::kShed);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, queue.Load().limit);
@@ -327,14 +331,14 @@
     AdmissionQueue queue({.slots = 1}, Priorities());
     for (std::uint64_t id = 1; id <= 3; ++id) queue.Offer(CallOf(id, 0), kStart);
     queue.PopDispatchable(kStart);
-    CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{1}));  // It runs.
+    CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{1}));  // It is running.
     CPPUNIT_ASSERT(queue.Cancel(OwnedCallId{2}));
     CPPUNIT_ASSERT(!queue.Cancel(OwnedCallId{2}));
     queue.OnCallFinished(OwnedCallId{1}, SlotResult::kCompleted, kStart + milliseconds(1));
     CPPUNIT_ASSERT(queue.PopDispatchable(kStart + milliseconds(1)) == std::vector{OwnedCallId{3}});
   }
 
-  // Guards against a process that wakes late and runs work that was given up meanwhile.
+  // Guards against a process that wakes up late and dispatches calls that have expired meanwhile.
   void NeverDispatchesExpiredCalls() {
     AdmissionQueue queue({.slots = 1}, Priorities());
     queue.Offer(CallOf(1, 0), kStart);
@@ -350,7 +354,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, queue.Load().queued);
   }
 
-  // Guards against calls that are lost, or counted under another priority, on a new configuration.
+  // Guards against calls that are lost or counted under another priority after a reconfiguration.
   void ReconfiguresWhileQueued() {
     std::vector<Priority> priorities = Priorities();
     AdmissionQueue queue({.slots = 2}, priorities);
@@ -359,7 +363,7 @@
     queue.Offer(CallOf(3, 0), kStart);
     queue.Offer(CallOf(4, 1), kStart);
     queue.Offer(CallOf(5, 2), kStart);
-    // Exports become the most urgent, browsing is gone, and one slot is left.
+    // Exports become the most urgent priority, browsing is removed, and one slot remains.
     const std::vector<Priority> changed{priorities[2], priorities[0]};
     queue.Reconfigure({.slots = 1}, changed);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, queue.Load().queued);
@@ -376,7 +380,7 @@
     CPPUNIT_ASSERT((order == std::vector{OwnedCallId{3}, OwnedCallId{4}, OwnedCallId{5}}));
   }
 
-  // Guards against a body that is larger than the queue may hold and is refused on an idle server.
+  // Guards against refusing a body larger than the queue's byte limit when the server is idle.
   void ServesLargeBodyAtOnceWhenIdle() {
     AdmissionQueue queue({.slots = 1, .queue_bytes = 1000}, Priorities());
     CPPUNIT_ASSERT(queue.Offer(CallOf(1, 0, seconds(5), 5000), kStart).refusal == Reason::kNone);
@@ -385,13 +389,13 @@
                    Reason::kQueueFullBytes);
   }
 
-  // Guards against calls that wait for a slot until their deadline although it can be told long
-  // before that they will not get one.
-  // Pattern: a flood that comes before the owner knows how long calls take.
+  // Guards against calls that stay queued until their deadline although it is predictable long
+  // before that they cannot start in time.
+  // Pattern: a flood that arrives before the owner has an estimate of the service time.
   void GivesUpWhatCannotBeStartedInTime() {
     constexpr std::size_t kSlots = 9;
     constexpr std::uint64_t kFlood = 600;
-    constexpr milliseconds kRun{300};
+    constexpr milliseconds kServiceTime{300};
     constexpr milliseconds kDeadline{3000};
     AdmissionQueue queue({.slots = kSlots}, Priorities());
     for (std::uint64_t id = 1; id <= kFlood; ++id) {
@@ -400,29 +404,31 @@
       CPPUNIT_ASSERT(queue.Offer(call, kStart).refusal == Reason::kNone);
     }
     std::size_t run = 0;
-    std::size_t given_up = 0;
-    std::size_t given_up_late = 0;
+    std::size_t unservable = 0;
+    std::size_t unservable_late = 0;
     std::vector<OwnedCallId> running = queue.PopDispatchable(kStart);
-    for (TimePoint now = kStart + kRun; !running.empty(); now += kRun) {
+    for (TimePoint now = kStart + kServiceTime; !running.empty(); now += kServiceTime) {
       for (const OwnedCallId id : running) {
         queue.OnCallFinished(id, SlotResult::kCompleted, now);
       }
       run += running.size();
       running = queue.PopDispatchable(now);
       const std::size_t count = queue.PopUnservable(now).size() + queue.PopExpired(now).size();
-      given_up += count;
-      if (now > kStart + kDeadline / 3) given_up_late += count;
+      unservable += count;
+      if (now > kStart + kDeadline / 3) unservable_late += count;
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlood}, run + given_up);
-    // When the running calls end is not known, so the last round of the slots is in doubt.
-    CPPUNIT_ASSERT(given_up_late <= kSlots);
-    // What the slots can start until 0.7 of a run before the deadline is not given up.
-    CPPUNIT_ASSERT(run >= kSlots * (kDeadline / kRun - 1));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{kFlood}, run + unservable);
+    // The remaining time of running calls is unknown, so the calls of one round of the slots may be
+    // removed late.
+    CPPUNIT_ASSERT(unservable_late <= kSlots);
+    // Calls that can start up to 0.7 of the service time before the deadline are not removed.
+    CPPUNIT_ASSERT(run >= kSlots * (kDeadline / kServiceTime - 1));
   }
 
-  // Guards against an estimate that refuses all calls of a priority and is therefore never renewed.
-  // Pattern: a route with long calls shares its priority with routes of short ones, on a server
-  // that is busy with less urgent work all the time.
+  // Guards against an estimate that makes the queue refuse all calls of a priority and is therefore
+  // never updated.
+  // Pattern: a route with long calls shares its priority with routes of short calls, on a server
+  // that is constantly busy with less urgent calls.
   void LongCallsDoNotShutOutShortOnesForGood() {
     constexpr milliseconds kLong{1200};
     constexpr milliseconds kShort{5};
@@ -437,10 +443,10 @@
       call.deadline = now + deadline;
       return call;
     };
-    const auto run_next = [&](std::optional<OwnedCallId> quick) {
+    const auto run_next = [&](std::optional<OwnedCallId> short_call_id) {
       const std::vector<OwnedCallId> running = queue.PopDispatchable(now);
-      const bool is_quick = quick && running == std::vector{*quick};
-      now += is_quick ? kShort : kBusy;
+      const bool is_short = short_call_id && running == std::vector{*short_call_id};
+      now += is_short ? kShort : kBusy;
       for (const OwnedCallId id : running) {
         queue.OnCallFinished(id, SlotResult::kCompleted, now);
       }
@@ -451,17 +457,17 @@
       now += kLong;
       queue.OnCallFinished(running.front(), SlotResult::kCompleted, now);
     }
-    int taken = 0;
+    int admitted = 0;
     for (int call = 0; call < kShortCalls; ++call) {
       for (int busy = 0; busy < 3; ++busy) queue.Offer(call_of(2, seconds(60)), now);
       run_next(std::nullopt);
       AdmissionCall short_call = call_of(0, kTarget);
       short_call.target = now + kTarget;
-      const bool is_taken = queue.Offer(short_call, now).refusal == Reason::kNone;
-      taken += is_taken ? 1 : 0;
+      const bool is_admitted = queue.Offer(short_call, now).refusal == Reason::kNone;
+      admitted += is_admitted ? 1 : 0;
       for (int turn = 0; turn < 3; ++turn) run_next(short_call.id);
     }
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(taken), taken >= kShortCalls * 4 / 5);
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(admitted), admitted >= kShortCalls * 4 / 5);
   }
 
  private:
--- a/tests/auto/policy/tst_requestregistry.cpp
+++ b/tests/auto/policy/tst_requestregistry.cpp
@@ -32,8 +32,8 @@
   return servers;
 }
 
-// A registry of the server at `position` in the order of homes of `request_id`. All other servers
-// have the present inventory in force since `current`.
+// Returns the registry of the server at `position` in the home order of `request_id`. All servers
+// have used the current inventory, version 7, since `current`.
 RequestRegistry RegistryAt(std::size_t position, std::string_view request_id,
                            WallTime current = kStarted, RegistryLimits limits = {}) {
   const BackendServerId self = HomeOrder(Servers(), request_id)[position];
@@ -79,7 +79,7 @@
   }
 
   // Guards against an inventory change that swaps the order of two servers: each would then wait
-  // for the other, or neither would ask.
+  // for the other, or neither would query the other.
   void OrderDoesNotDependOnOtherServers() {
     for (int token = 0; token < 50; ++token) {
       const std::string id = IdAt(kNow, std::to_string(token));
@@ -114,7 +114,8 @@
     CPPUNIT_ASSERT(choose(order, {}).refusal == Reason::kHomeUnreachable);
   }
 
-  // Guards against a second run after the home forgot the first, by age or by a restart.
+  // Guards against a second run after the home lost its record of the first, by age or by a
+  // restart.
   void AcceptsOnlyIdsThatItWouldRemember() {
     struct Row {
       std::string_view name;
@@ -149,7 +150,7 @@
                    Reason::kRequestIdInvalid);
   }
 
-  // Guards against a wall clock that is set back after an id was forgotten.
+  // Guards against accepting an id again after its record was removed and the wall clock set back.
   void ClockSetBackDoesNotRenewForgottenIds() {
     const std::string id = IdAt(kNow);
     RequestRegistry registry = RegistryAt(0, id);
@@ -162,7 +163,7 @@
     CPPUNIT_ASSERT(registry.Release(id, kNow).reason == Reason::kRequestIdExpired);
   }
 
-  // Guards against the answer to one request being given to another with the same id.
+  // Guards against answering a request with the response to another request with the same id.
   void RefusesIdOfAnotherRequest() {
     const std::string id = IdAt(kNow);
     RequestRegistry registry = RegistryAt(0, id);
@@ -187,7 +188,7 @@
     const RequestDecision replay = registry.RegisterArrival(id, kDigest, {}, kNow + minutes(1));
     CPPUNIT_ASSERT(replay.kind == Kind::kReplay);
     CPPUNIT_ASSERT_EQUAL(std::string("body"), replay.response->body);
-    registry.RecordNotRun(id);  // A late refusal of another send must not make it forgotten.
+    registry.RecordNotRun(id);  // A late refusal of another send must not remove the record.
     CPPUNIT_ASSERT(registry.RegisterArrival(id, kDigest, {}, kNow).kind == Kind::kReplay);
 
     const std::string failed = IdAt(kNow, "b");
@@ -203,62 +204,63 @@
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     for (std::size_t position = 0; position < order.size(); ++position) {
       RequestRegistry registry = RegistryAt(position, id);
-      std::vector<BackendServerId> asked =
+      std::vector<BackendServerId> queried =
           registry.RegisterArrival(id, kDigest, {}, kNow).servers_to_query;
-      CPPUNIT_ASSERT_EQUAL(position, asked.size());
+      CPPUNIT_ASSERT_EQUAL(position, queried.size());
       for (std::size_t higher = 0; higher < position; ++higher) {
-        CPPUNIT_ASSERT(std::count(asked.begin(), asked.end(), order[higher]) == 1);
+        CPPUNIT_ASSERT(std::count(queried.begin(), queried.end(), order[higher]) == 1);
       }
-      // Until all have answered, nobody else gets the id.
+      // Until all have replied, the id is released to no other server.
       CPPUNIT_ASSERT(registry.Release(id, kNow).reason == Reason::kAlreadyRunning);
     }
   }
 
-  // Guards against two homes under two inventories.
+  // Guards against a request that runs at two homes because servers use different inventories.
   void AsksServersThatMayUseAnotherInventory() {
     const std::string id = IdAt(kNow);
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     const std::vector<BackendServerId> all_lower{order[1], order[2]};
-    const auto asked = [&](RequestRegistry& registry, const std::string& request) {
-      std::vector<BackendServerId> ask =
+    const auto queried = [&](RequestRegistry& registry, const std::string& request) {
+      std::vector<BackendServerId> servers =
           registry.RegisterArrival(request, kDigest, {}, kNow).servers_to_query;
       registry.RecordNotRun(request);
-      std::sort(ask.begin(), ask.end(),
+      std::sort(servers.begin(), servers.end(),
                 [&](const auto& first, const auto& second) { return IsBefore(first, second, id); });
-      return ask;
+      return servers;
     };
 
-    // A fresh node does not know which inventory the others use.
+    // A newly started node has no information on which inventory the others use.
     RequestRegistry fresh(order[0], kStarted);
     fresh.SetInventory(Servers(), 7, kStarted);
-    CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
+    CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
     fresh.RecordConfigurationVersion(order[1], Incarnation{1}, 6, kStarted);
-    CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
+    CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
     fresh.RecordConfigurationVersion(order[1], Incarnation{1}, 7, kStarted);
-    CPPUNIT_ASSERT(asked(fresh, id) == std::vector{order[2]});
+    CPPUNIT_ASSERT(queried(fresh, id) == std::vector{order[2]});
     fresh.RecordConfigurationVersion(order[2], Incarnation{1}, 7, kNow - seconds(1));
-    CPPUNIT_ASSERT(asked(fresh, id) == std::vector{order[2]});  // The id may be older than that.
-    fresh.RecordConfigurationVersion(order[1], Incarnation{2}, 0, kStarted);  // Restarted.
-    CPPUNIT_ASSERT(asked(fresh, id) == all_lower);
+    // The id may be older than the time since which that server has used the version.
+    CPPUNIT_ASSERT(queried(fresh, id) == std::vector{order[2]});
+    fresh.RecordConfigurationVersion(order[1], Incarnation{2}, 0, kStarted);  // A restart.
+    CPPUNIT_ASSERT(queried(fresh, id) == all_lower);
 
-    // A server that was taken out of the inventory may not know it.
+    // A server that was removed from the inventory may not have applied that version yet.
     RequestRegistry registry = RegistryAt(0, id);
     registry.SetInventory(std::vector{order[0], order[1]}, 8, kNow - minutes(2));
-    CPPUNIT_ASSERT(asked(registry, id) == all_lower);
+    CPPUNIT_ASSERT(queried(registry, id) == all_lower);
     registry.RecordConfigurationVersion(order[1], Incarnation{1}, 8, kNow - minutes(1));
-    CPPUNIT_ASSERT(asked(registry, id) == std::vector{order[2]});
+    CPPUNIT_ASSERT(queried(registry, id) == std::vector{order[2]});
     registry.RecordConfigurationVersion(order[2], Incarnation{1}, 8, kNow - minutes(1));
-    CPPUNIT_ASSERT(asked(registry, id).empty());
+    CPPUNIT_ASSERT(queried(registry, id).empty());
 
-    // A server that is ahead may have passed over the version that this node has.
+    // A server with a newer version may never have applied the version that this node uses.
     registry.RecordConfigurationVersion(order[1], Incarnation{1}, 9, kNow - minutes(1));
-    CPPUNIT_ASSERT(asked(registry, id) == std::vector{order[1]});
+    CPPUNIT_ASSERT(queried(registry, id) == std::vector{order[1]});
     registry.SetInventory(std::vector{order[0], order[1]}, 9, kNow - seconds(30));
-    CPPUNIT_ASSERT(asked(registry, id).empty());
+    CPPUNIT_ASSERT(queried(registry, id).empty());
 
-    // A version without change of this service's inventory does not count.
+    // A version that leaves this service's inventory unchanged requires no further queries.
     registry.SetInventory(std::vector{order[0], order[1]}, 10, kNow);
-    CPPUNIT_ASSERT(asked(registry, id).empty());
+    CPPUNIT_ASSERT(queried(registry, id).empty());
   }
 
   void DoesNotAskServersThatWereAbsent() {
@@ -266,7 +268,7 @@
     const std::vector<BackendServerId> order = HomeOrder(Servers(), id);
     struct Row {
       WallTime absent_since;
-      std::size_t asked;
+      std::size_t queried;
     };
     for (const Row& row : {Row{kNow - seconds(3), 0}, Row{kNow - seconds(2), 1}, Row{kNow, 1}}) {
       RequestRegistry registry = RegistryAt(1, id);
@@ -275,7 +277,7 @@
         return std::nullopt;
       };
       CPPUNIT_ASSERT_EQUAL(
-          row.asked, registry.RegisterArrival(id, kDigest, absent, kNow).servers_to_query.size());
+          row.queried, registry.RegisterArrival(id, kDigest, absent, kNow).servers_to_query.size());
     }
   }
 
@@ -289,10 +291,10 @@
     RequestRegistry ran = RegistryAt(0, id);
     ran.RegisterArrival(id, kDigest, {}, kNow);
     ran.RecordResponse(id, {});
-    const ReleaseReply answer = ran.Release(id, kNow);
-    CPPUNIT_ASSERT(!answer.released && answer.reason == Reason::kAlreadyRan);
+    const ReleaseReply reply = ran.Release(id, kNow);
+    CPPUNIT_ASSERT(!reply.released && reply.reason == Reason::kAlreadyRan);
 
-    // It may have run under the predecessor of a restarted process.
+    // The request may have run under the previous incarnation of a restarted process.
     RequestRegistry restarted(BackendServerId("s1"), kNow);
     CPPUNIT_ASSERT(restarted.Release(id, kNow + seconds(1)).reason == Reason::kHomeRestarted);
   }
@@ -316,7 +318,7 @@
     CPPUNIT_ASSERT(registry.RegisterArrival(first, kDigest, {}, kNow).reason ==
                    Reason::kAlreadyRan);
     CPPUNIT_ASSERT(registry.RegisterArrival(second, kDigest, {}, kNow).kind == Kind::kReplay);
-    // Old entries make room.
+    // Expired entries make room for new ones.
     const WallTime later = kNow + minutes(11);
     const std::string large = IdAt(later, "4");
     CPPUNIT_ASSERT(registry.RegisterArrival(large, kDigest, {}, later).kind == Kind::kAccept);
--- a/tests/auto/policy/tst_router.cpp
+++ b/tests/auto/policy/tst_router.cpp
@@ -19,13 +19,14 @@
 constexpr std::array<std::uint64_t, 3> kSeeds{1, 20, 300};
 constexpr std::size_t kServers = 9;
 constexpr std::size_t kIngresses = 4;
-// 60 % of what nine servers with nine slots and 10 ms can do.
+// 60 % of the capacity of nine servers with nine slots and a mean service time of 10 ms.
 constexpr double kCallsPerSecond = 4860.0;
 constexpr std::chrono::seconds kWarmUp{15};
 constexpr std::chrono::seconds kRunTime{20};
 
-// The 99th percentile with `slowdown` on the first server, from the moment of the slowdown on.
-Duration TailWithSlowServer(std::string_view strategy, double slowdown, std::uint64_t seed) {
+// Returns the 99th percentile of the latencies while the first server is slower by the factor
+// `slowdown`, counted from the start of the slowdown.
+Duration P99LatencyWithSlowServer(std::string_view strategy, double slowdown, std::uint64_t seed) {
   QueueingSimulation simulation(strategy, SimulatedDeclaration(kServers, 0, 0), kIngresses, seed);
   simulation.Run(kWarmUp, kCallsPerSecond);
   simulation.SetBehaviour(0, ServerBehaviour{slowdown, false});
@@ -38,8 +39,8 @@
 }
 
 std::vector<BackendServerId> SubsetWith(std::size_t servers, const std::string& node) {
-  const NodeLocation place{BackendServerId(node), RegionId("west"), DataCentreId("west-1")};
-  Router router("adaptive", place, 1);
+  const NodeLocation location{BackendServerId(node), RegionId("west"), DataCentreId("west-1")};
+  Router router("adaptive", location, 1);
   router.SetDeclaration(SimulatedDeclaration(servers, 0, 0), TimePoint{});
   return router.SubsetOf(ServiceId("s"));
 }
@@ -83,13 +84,13 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against a slow server that drags the tail of the whole service.
+  // Guards against one slow server that raises the tail latency of the whole service.
   void KeepsTailWithOneSlowServer() {
     for (const std::uint64_t seed : kSeeds) {
-      const Duration healthy = TailWithSlowServer("adaptive", 1.0, seed);
-      const Duration slow = TailWithSlowServer("adaptive", 10.0, seed);
-      const Duration round_robin = TailWithSlowServer("round_robin", 10.0, seed);
-      const Duration least_reported = TailWithSlowServer("least_reported", 10.0, seed);
+      const Duration healthy = P99LatencyWithSlowServer("adaptive", 1.0, seed);
+      const Duration slow = P99LatencyWithSlowServer("adaptive", 10.0, seed);
+      const Duration round_robin = P99LatencyWithSlowServer("round_robin", 10.0, seed);
+      const Duration least_reported = P99LatencyWithSlowServer("least_reported", 10.0, seed);
       std::cout << "  seed " << seed << ": p99 us healthy " << healthy.count() << ", one slow "
                 << slow.count() << ", round robin " << round_robin.count() << ", least reported "
                 << least_reported.count() << '\n';
@@ -98,7 +99,7 @@
     }
   }
 
-  // Guards against taking fast errors for low latency.
+  // Guards against treating fast errors as low latency.
   void GivesFailFastServerFewCalls() {
     for (const std::uint64_t seed : kSeeds) {
       QueueingSimulation simulation("adaptive", SimulatedDeclaration(kServers, 0, 0), kIngresses,
@@ -112,13 +113,13 @@
       simulation.SetBehaviour(0, ServerBehaviour{});
       simulation.Run(std::chrono::seconds(100), kCallsPerSecond / 10);
       simulation.Run(kRunTime, kCallsPerSecond);
-      std::cout << "  seed " << seed << ": after it recovered " << ShareOf(simulation, 0) * 100
+      std::cout << "  seed " << seed << ": share after recovery " << ShareOf(simulation, 0) * 100
                 << " %\n";
       CPPUNIT_ASSERT(ShareOf(simulation, 0) > 0.05);
     }
   }
 
-  // Guards against a flood on a server whose caches are empty.
+  // Guards against full load on a restarted server whose caches are still empty.
   void RampsColdServer() {
     for (const std::uint64_t seed : kSeeds) {
       QueueingSimulation simulation("adaptive", SimulatedDeclaration(kServers, 0, 0), kIngresses,
@@ -140,12 +141,12 @@
     }
   }
 
-  // Guards against a surge on the paid link when a region comes back.
+  // Guards against exceeding the paid link budget when a region becomes reachable again.
   void KeepsPaidLinkBudgetAfterCut() {
     constexpr std::size_t kNear = 4;
     constexpr std::size_t kFar = 4;
-    constexpr std::size_t kBudget = 400000;  // Bytes a second of the region.
-    // Above what the near servers can do, so that every call would like to cross.
+    constexpr std::size_t kBudget = 400000;  // Bytes per second of the region.
+    // Above the capacity of the near servers, so that every call would prefer a far server.
     constexpr double kOverload = 4500.0;
     for (const std::uint64_t seed : kSeeds) {
       QueueingSimulation simulation("adaptive", SimulatedDeclaration(kNear, kFar, kBudget), kNear,
@@ -165,9 +166,9 @@
         for (std::size_t server = kNear; server < kNear + kFar; ++server) {
           crossed += simulation.Sent(server) * QueueingSimulation::kCallBytes;
         }
-        std::cout << "  seed " << seed << ": bytes across in second " << second << ": " << crossed
-                  << '\n';
-        // The full bucket of one second comes on top once.
+        std::cout << "  seed " << seed << ": bytes across regions in second " << second << ": "
+                  << crossed << '\n';
+        // The token bucket, full with the bytes of one second, adds to the first second.
         CPPUNIT_ASSERT(crossed <= kBudget * (second == 0 ? 2 : 1) + kBudget / 20);
         CPPUNIT_ASSERT(crossed > 0);
       }
@@ -196,54 +197,55 @@
   }
 
   void AsksOnlyNearServersThatAreOpen() {
-    Router router = AskingRouter();
-    std::vector<BackendServerId> asked = router.ServersToQuery(AskedCall(), 3, kAskedAt);
-    std::sort(asked.begin(), asked.end());
-    CPPUNIT_ASSERT(asked == (std::vector{BackendServerId("n0"), BackendServerId("n1")}));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, router.ServersToQuery(AskedCall(), 1, kAskedAt).size());
-    router.SetReachable(BackendServerId("n0"), false, kAskedAt);
-    asked = router.ServersToQuery(AskedCall(), 3, kAskedAt);
-    CPPUNIT_ASSERT(asked == std::vector{BackendServerId("n1")});
+    Router router = MakeRouter();
+    std::vector<BackendServerId> queried = router.ServersToQuery(MakeRequest(), 3, kQueryTime);
+    std::sort(queried.begin(), queried.end());
+    CPPUNIT_ASSERT(queried == (std::vector{BackendServerId("n0"), BackendServerId("n1")}));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1},
+                         router.ServersToQuery(MakeRequest(), 1, kQueryTime).size());
+    router.SetReachable(BackendServerId("n0"), false, kQueryTime);
+    queried = router.ServersToQuery(MakeRequest(), 3, kQueryTime);
+    CPPUNIT_ASSERT(queried == std::vector{BackendServerId("n1")});
   }
 
   void TakesTheLeastOffer() {
-    Router router = AskingRouter();
+    Router router = MakeRouter();
     const std::array estimates{LoadEstimate{BackendServerId("n0"), Duration(300000)},
                                LoadEstimate{BackendServerId("n1"), Duration(100000)}};
-    const RoutingChoice choice = router.ChooseAmong(AskedCall(), estimates, kAskedAt);
+    const RoutingChoice choice = router.ChooseAmong(MakeRequest(), estimates, kQueryTime);
     CPPUNIT_ASSERT(choice.server == BackendServerId("n1"));
     CPPUNIT_ASSERT(!choice.crosses_regions);
   }
 
   void LeavesTheRegionOnlyForCallsThatWouldBeLate() {
-    Router router = AskingRouter();
-    RoutingRequest call = AskedCall();
+    Router router = MakeRouter();
+    RoutingRequest call = MakeRequest();
     const std::array slow{LoadEstimate{BackendServerId("n0"), Duration(900000)}};
     call.target_left = Duration(1000000);
-    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kQueryTime).crosses_regions);
     call.target_left = Duration(500000);
     call.excluded = m_near;
-    CPPUNIT_ASSERT(router.ChooseAmong(call, slow, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(router.ChooseAmong(call, slow, kQueryTime).crosses_regions);
     call.may_cross_regions = false;
-    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(!router.ChooseAmong(call, slow, kQueryTime).crosses_regions);
   }
 
-  // Guards against a budget of the paid link that calls use up which stay in the region.
+  // Guards against charging the paid link budget for calls that stay in the region.
   void FarServerThatIsNotTakenCostsNoBytes() {
-    Router router = AskingRouter();
-    RoutingRequest call = AskedCall();
+    Router router = MakeRouter();
+    RoutingRequest call = MakeRequest();
     call.excluded = m_near;
     call.target_left = Duration(0);
     call.bytes = 5000;
-    // Late, but still sooner than across the link.
+    // Late, but still earlier than in the far region.
     const std::array estimates{LoadEstimate{BackendServerId("n0"), Duration(20000)}};
     for (int index = 0; index < 10; ++index) {
-      CPPUNIT_ASSERT(!router.ChooseAmong(call, estimates, kAskedAt).crosses_regions);
+      CPPUNIT_ASSERT(!router.ChooseAmong(call, estimates, kQueryTime).crosses_regions);
     }
-    CPPUNIT_ASSERT(router.Choose(call, kAskedAt).crosses_regions);
+    CPPUNIT_ASSERT(router.Choose(call, kQueryTime).crosses_regions);
   }
 
-  // Guards against links that are all replaced when one server joins.
+  // Guards against replacing all connections of an ingress when one server joins.
   void KeepsSubsetStable() {
     constexpr std::size_t kFleet = 200;
     std::size_t changed = 0;
@@ -260,7 +262,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{5}, SubsetWith(5, "node").size());
   }
 
-  // Guards against servers that no ingress uses.
+  // Guards against servers that are in the subset of no ingress or of too few.
   void SpreadsSubsetsEvenly() {
     constexpr std::size_t kFleet = 60;
     constexpr int kNodes = 600;
@@ -298,37 +300,37 @@
     }
   }
 
-  // Guards against sending many calls at once to a server whose link has just come back.
+  // Guards against sending many calls at once to a server that has just become reachable again.
   void TakesHealedServerBackByTrial() {
     Router router("adaptive",
                   NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
     const TimePoint now{std::chrono::seconds(1)};
     router.SetDeclaration(SimulatedDeclaration(2, 0, 0), now);
-    const BackendServerId healed("n0");
+    const BackendServerId recovered("n0");
     const BackendServerId other("n1");
-    for (const BackendServerId& id : {healed, other}) {
+    for (const BackendServerId& id : {recovered, other}) {
       router.RecordLoad(id, IdleLoad(1), now);
       router.SetReachable(id, true, now);
     }
-    router.SetReachable(healed, false, now);
-    router.SetReachable(healed, true, now);
+    router.SetReachable(recovered, false, now);
+    router.SetReachable(recovered, true, now);
     RoutingRequest request{ServiceId("s"), false, true, 0, {}};
     CPPUNIT_ASSERT(router.Choose(request, now).server == other);
     request.idempotent = true;
-    CPPUNIT_ASSERT(router.Choose(request, now).server == healed);
-    router.RecordSent(healed, CallId{1}, 0, now);
+    CPPUNIT_ASSERT(router.Choose(request, now).server == recovered);
+    router.RecordSent(recovered, CallId{1}, 0, now);
     for (int call = 0; call < 50; ++call) {
       CPPUNIT_ASSERT(router.Choose(request, now).server == other);
     }
-    router.RecordEnded(healed, CallId{1}, AttemptResult::kAnswered, now);
+    router.RecordEnded(recovered, CallId{1}, AttemptResult::kAnswered, now);
     int chosen = 0;
     for (int call = 0; call < 1000; ++call) {
-      if (router.Choose(request, now).server == healed) ++chosen;
+      if (router.Choose(request, now).server == recovered) ++chosen;
     }
     CPPUNIT_ASSERT(chosen > 0 && chosen < 100);
   }
 
-  // Guards against a service without servers when the calls themselves are at fault.
+  // Guards against ejecting all servers of a service when the calls themselves cause the errors.
   void EjectsAtMostHalf() {
     Router router("adaptive",
                   NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
@@ -351,7 +353,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, last_calls.size());
   }
 
-  // Guards against calls that use up their attempts on servers known to refuse connections.
+  // Guards against calls that use up their attempts on owners whose backend refuses connections.
   void AvoidsServersWithoutBackend() {
     Router router("adaptive",
                   NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
@@ -370,13 +372,13 @@
     for (int call = 0; call < 50; ++call) {
       CPPUNIT_ASSERT_EQUAL(std::string("n3"), router.Choose(request, now).server.Value());
     }
-    // Each is tried again after its suspension.
+    // Each server is eligible again after its suspension.
     CPPUNIT_ASSERT(router.Choose(request, now + std::chrono::milliseconds(300)).server !=
                    BackendServerId("n3"));
   }
 
-  // Guards against urgent calls that cross the paid link because less urgent ones, which they
-  // overtake at the owner, fill the near servers.
+  // Guards against urgent calls that cross the paid link because the near servers are full of less
+  // urgent calls, which urgent ones overtake in the owner's queue.
   void KeepsUrgentCallsNearDuringFlood() {
     const TimePoint now{std::chrono::seconds(1)};
     std::shared_ptr<const Declaration> declaration = SimulatedDeclaration(1, 1, 1000000);
@@ -398,7 +400,8 @@
     CPPUNIT_ASSERT(router.Choose(request, now).server == far.id);
   }
 
-  // Guards against scores that are mixed up when servers move between services and regions.
+  // Guards against subsets and scores of the wrong server when servers move between services and
+  // regions.
   void ReplacesServersOfASubset() {
     Router router("adaptive",
                   NodeLocation{BackendServerId("i"), RegionId("west"), DataCentreId("w")}, 3);
@@ -436,21 +439,23 @@
   }
 
  private:
-  static constexpr TimePoint kAskedAt{std::chrono::seconds(100)};
+  static constexpr TimePoint kQueryTime{std::chrono::seconds(100)};
 
-  // A router with two near servers and a far one, all open, and room for one call on the paid link.
-  static Router AskingRouter() {
+  // Returns a router with two near servers and a far one, all reachable and idle, and a paid link
+  // budget that one call of more than 1000 bytes uses up.
+  static Router MakeRouter() {
     Router router("adaptive",
                   NodeLocation{BackendServerId("self"), RegionId("west"), DataCentreId("w")}, 1);
-    router.SetDeclaration(SimulatedDeclaration(2, 1, 1000), kAskedAt);
+    router.SetDeclaration(SimulatedDeclaration(2, 1, 1000), kQueryTime);
     for (const char* server : {"n0", "n1", "f0"}) {
-      router.RecordLoad(BackendServerId(server), IdleLoad(1), kAskedAt);
-      router.SetReachable(BackendServerId(server), true, kAskedAt);
+      router.RecordLoad(BackendServerId(server), IdleLoad(1), kQueryTime);
+      router.SetReachable(BackendServerId(server), true, kQueryTime);
     }
     return router;
   }
 
-  static RoutingRequest AskedCall() {
+  // Returns a request of 100 bytes with 500 ms left to its target.
+  static RoutingRequest MakeRequest() {
     RoutingRequest call{ServiceId("s"), true, true, 100, {}};
     call.target_left = std::chrono::milliseconds(500);
     return call;
--- a/tests/auto/policy/tst_sendguard.cpp
+++ b/tests/auto/policy/tst_sendguard.cpp
@@ -9,7 +9,8 @@
 constexpr Incarnation kOwner{7};
 constexpr std::uint64_t kNowUs = 1000000;
 constexpr std::uint64_t kExpiryUs = 2000000;
-constexpr std::uint64_t kForgottenUs = kExpiryUs + 10000001;  // 10 s after the expiry.
+// 1 us past the retention time of 10 s that follows the expiry.
+constexpr std::uint64_t kAfterRetentionUs = kExpiryUs + 10000001;
 
 CallKey KeyOf(std::uint64_t call) {
   return {BackendServerId("ingress"), Incarnation{1}, CallId{call}};
@@ -39,7 +40,7 @@
                    Reason::kWrongIncarnation);
   }
 
-  // Guards against a call that arrives after its ingress was told that it had not run.
+  // Guards against running a call that arrives after it was reported to its ingress as not run.
   void SettledCallNeverRuns() {
     SendGuard guard(kOwner);
     CPPUNIT_ASSERT(guard.ResolveState(KeyOf(1), kExpiryUs, kNowUs) ==
@@ -54,7 +55,8 @@
   void SecondDeliveryNeverRuns() {
     SendGuard guard(kOwner);
     guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
-    guard.RecordCancelled(KeyOf(1), kExpiryUs, kNowUs);  // Too late to change what happened.
+    // Must not replace the record that the call ended.
+    guard.RecordCancelled(KeyOf(1), kExpiryUs, kNowUs);
     CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kNowUs).ignore);
     CPPUNIT_ASSERT(guard.ResolveState(KeyOf(1), kExpiryUs, kNowUs) ==
                    InactiveCallState::kMayHaveRun);
@@ -64,7 +66,7 @@
     CPPUNIT_ASSERT(guard.ResolveState(KeyOf(2), kExpiryUs, kNowUs) == InactiveCallState::kNotRun);
   }
 
-  // Guards against "not run" for a call that ran and whose tombstone was swept.
+  // Guards against reporting "not run" for a call that ran and whose tombstone was removed.
   void QueryAfterExpiryProvesNothing() {
     SendGuard guard(kOwner);
     guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
@@ -75,7 +77,8 @@
     }
   }
 
-  // Guards against "unknown" for a call that an owner can prove not to have run at its deadline.
+  // Guards against reporting "unknown" for a call of which the owner, queried at the deadline, can
+  // still prove that it has not run.
   void QueryJustAfterExpiryProvesNeverSeen() {
     SendGuard guard(kOwner);
     const std::uint64_t last_proof_us = kExpiryUs + kTombstoneRetentionUs - 1;
@@ -88,17 +91,17 @@
   void ForgetsOnlyExpiredCalls() {
     SendGuard guard(kOwner);
     guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
-    // A second delivery after the expiry must not be answered with "not run".
-    guard.Sweep(kForgottenUs - 1);
-    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kForgottenUs - 1).ignore);
-    guard.Sweep(kForgottenUs);
+    // A second delivery after the expiry must not be reported as "not run".
+    guard.Sweep(kAfterRetentionUs - 1);
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kAfterRetentionUs - 1).ignore);
+    guard.Sweep(kAfterRetentionUs);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, guard.Count());
-    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kForgottenUs).refusal ==
+    CPPUNIT_ASSERT(guard.CheckArrival(KeyOf(1), kOwner, kExpiryUs, kAfterRetentionUs).refusal ==
                    Reason::kExpired);
   }
 
-  // Guards against memory that grows with a flood; calls that may have run are not forgotten for
-  // it.
+  // Guards against memory use that grows with a flood of refused calls. Records of calls that may
+  // have run are not evicted to make room.
   void BoundsRefusedCalls() {
     SendGuard guard(kOwner);
     guard.RecordEnded(KeyOf(1), kExpiryUs, kNowUs);
