--- a/tests/auto/http/tst_answerfuzz.cpp
+++ b/tests/auto/http/tst_answerfuzz.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-using test::CollectedAnswer;
+using test::CollectedResponse;
 using test::ScriptedServer;
 
 constexpr std::size_t kMostBodyBytes = 3000;
@@ -125,7 +125,7 @@
 
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
-void CheckAnswer(const Script& script, Damage damage, const CollectedAnswer& answer) {
+void CheckAnswer(const Script& script, Damage damage, const CollectedResponse& answer) {
   // Nothing but the own answer's bytes is ever handed on.
   const bool is_own = script.own_body.compare(0, answer.body.size(), answer.body) == 0;
   CPPUNIT_ASSERT(is_own || (damage == Damage::kSpoiledHead && !IsSuccess(answer.status)));
--- a/tests/auto/http/tst_backendconnection.cpp
+++ b/tests/auto/http/tst_backendconnection.cpp
@@ -61,7 +61,7 @@
 
 void TestAnswer(const AnswerRow& row) {
   const ScriptedServer server({row.bytes}, row.end);
-  const test::CollectedAnswer answer = test::FetchFrom(server);
+  const test::CollectedResponse answer = test::FetchFrom(server);
   CPPUNIT_ASSERT(row.failure == answer.failure);
   CPPUNIT_ASSERT_EQUAL(std::string(row.body), answer.body);
 }
--- a/tests/auto/platform/tst_storereader.cpp
+++ b/tests/auto/platform/tst_storereader.cpp
@@ -126,7 +126,7 @@
     Start(0);
     CPPUNIT_ASSERT_EQUAL(std::string("A"), WaitForText());
     m_store.Put("servers/b", "B");
-    m_store.DropHistory();
+    m_store.CompactHistory();
     Start(m_events.Version());
     CPPUNIT_ASSERT_EQUAL(std::string("AB"), WaitForText());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, m_store.Ranges());
--- a/tests/integration/tst_backendabort.cpp
+++ b/tests/integration/tst_backendabort.cpp
@@ -28,7 +28,7 @@
 // Guards against a non-idempotent request that is sent again because the backend server closed the
 // connection after reading it, as HTTP clients do on reused connections.
 void RunsOnce(const AbortCase& row) {
-  Fleet fleet({.servers = FrontedFleet(3)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(3)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   for (int call = 0; call < row.warm_up_calls; ++call) {
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
@@ -37,8 +37,8 @@
   constexpr int kCalls = 10;
   for (int call = 0; call < kCalls; ++call) {
     const std::string id = "abort-" + std::to_string(call);
-    const HttpAnswer answer = fleet.Call(row.ingress, "POST", "/book?abort=1", {{"X-Test-Id", id}},
-                                         std::string(row.body_bytes, 'x'));
+    const HttpResponse answer = fleet.Call(row.ingress, "POST", "/book?abort=1",
+                                           {{"X-Test-Id", id}}, std::string(row.body_bytes, 'x'));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("unknown"), answer.Outcome());
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), 1, fleet.RunsOf(id).ran);
   }
@@ -58,14 +58,14 @@
 
 // Guards against a retry's refusal that tells the caller of an aborted first run "not-run".
 void NeverCallsARunNotRun(const RefusalCase& row) {
-  Fleet fleet({.servers = FrontedFleet(3)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(3)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   fleet.SetBackend(2, row.refusing);
   constexpr int kCalls = 30;
   int ran = 0;
   for (int call = 0; call < kCalls; ++call) {
     const std::string id = "refused-" + std::to_string(call);
-    const HttpAnswer answer = fleet.Call(0, "GET", "/read?abort=1", {{"X-Test-Id", id}});
+    const HttpResponse answer = fleet.Call(0, "GET", "/read?abort=1", {{"X-Test-Id", id}});
     if (fleet.RunsOf(id).ran == 0) continue;
     ++ran;
     CPPUNIT_ASSERT_MESSAGE(answer.Describe(), answer.Outcome() != "not-run");
--- a/tests/integration/tst_badinput.cpp
+++ b/tests/integration/tst_badinput.cpp
@@ -29,7 +29,7 @@
 
 void AssertServes(Fleet& fleet) {
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Node(0).IsRunning());
-  const HttpAnswer answer = fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
+  const HttpResponse answer = fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
   CPPUNIT_ASSERT_MESSAGE(answer.Describe(), answer.body == PatternBody("after", 10));
 }
 
@@ -207,9 +207,9 @@
 // calls beside it.
 void FreesTheSlotOfACallerThatLeaves(Fleet& fleet) {
   bool other_ended = false;
-  HttpAnswer other;
+  HttpResponse other;
   fleet.Send(0, MakeRequest("GET", "/read?ms=500&bytes=100", {{"X-Test-Id", "other"}}),
-             [&](const HttpAnswer& answer) {
+             [&](const HttpResponse& answer) {
                other = answer;
                other_ended = true;
              });
@@ -294,7 +294,7 @@
 // Guards against an answer that breaks off and takes with it the node, as those behind it on the
 // same connection are late at the same moment.
 void EndsLateAnswersOfOneConnection(const LateCase& row) {
-  Fleet fleet({.servers = FrontedFleet(2)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(2)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   const DeafCaller caller(fleet.Caller(0));
   std::string requests;
--- a/tests/integration/tst_configuration.cpp
+++ b/tests/integration/tst_configuration.cpp
@@ -40,7 +40,7 @@
 }
 
 void AssertServes(Fleet& fleet, std::size_t index, std::string_view path) {
-  const HttpAnswer answer = fleet.Call(index, "GET", path);
+  const HttpResponse answer = fleet.Call(index, "GET", path);
   CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe() + fleet.NodeOutput(), std::string("answered"),
                                answer.Outcome());
 }
--- a/tests/integration/tst_crashingrequest.cpp
+++ b/tests/integration/tst_crashingrequest.cpp
@@ -78,7 +78,7 @@
                        .targets = callers}},
                      1);
   load.Start(std::chrono::minutes(5));
-  HttpAnswer last;
+  HttpResponse last;
   std::string text;
   for (int resend = 0; resend < kResends; ++resend) {
     last = fleet.Call(static_cast<std::size_t>(resend) % fleet.Size(), row.method, row.target);
--- a/tests/integration/tst_crowdedingress.cpp
+++ b/tests/integration/tst_crowdedingress.cpp
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT(!has_calls || WaitUntil(is_read));
   }
   CPPUNIT_ASSERT(!has_calls || WaitUntil([&] { return fleet.Metric(0, kOverloaded) > 0; }));
-  const HttpAnswer answer = fleet.Call(0, "GET", "/read");
+  const HttpResponse answer = fleet.Call(0, "GET", "/read");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("answered"), answer.Outcome());
 }
 
--- a/tests/integration/tst_drain.cpp
+++ b/tests/integration/tst_drain.cpp
@@ -52,14 +52,14 @@
 // Guards against work that still goes to a leaving backend server, and against calls that its
 // leaving cuts.
 void LeavesWithoutLoss(const DrainCase& row) {
-  Fleet fleet({.servers = FrontedFleet(3, 8),
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(3, 8),
                .with_platform = row.with_platform,
                .node_arguments = {"--drain-announce-ms=1000"},
                .deadline_ms = 60000,
                .hedge_share = 0.0});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   // The long calls: sent until each of the two servers has one.
-  std::vector<HttpAnswer> answers(kMostLongCalls);
+  std::vector<HttpResponse> answers(kMostLongCalls);
   std::size_t sent = 0;
   std::size_t ended = 0;
   const std::string target = "/book?bytes=100000&ms=" + std::to_string(kLongCallTime.count());
@@ -69,7 +69,7 @@
   while (sent < kMostLongCalls && (in_flight(1) == 0 || in_flight(2) == 0)) {
     const std::size_t call = sent++;
     fleet.Send(0, MakeRequest("POST", target, {{"X-Test-Id", IdOf(call)}}),
-               [&, call](const HttpAnswer& answer) {
+               [&, call](const HttpResponse& answer) {
                  answers[call] = answer;
                  ++ended;
                });
--- a/tests/integration/tst_flood.cpp
+++ b/tests/integration/tst_flood.cpp
@@ -74,7 +74,7 @@
 // Guards against a flood of one priority that takes the others' guaranteed share or loses urgent
 // calls.
 void KeepsTheOthersServed(const FloodCase& row) {
-  Fleet fleet({.servers = FrontedFleet(1 + kServers, kSlots)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(1 + kServers, kSlots)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   std::vector<LoadStream> streams;
   for (const StreamPlan& plan : row.streams) {
--- a/tests/integration/tst_mixedanswers.cpp
+++ b/tests/integration/tst_mixedanswers.cpp
@@ -56,7 +56,7 @@
   }
   RandomSource random(row.seed);
   std::vector<std::size_t> sizes;
-  std::vector<HttpAnswer> answers(kCalls);
+  std::vector<HttpResponse> answers(kCalls);
   std::size_t ended = 0;
   for (std::size_t call = 0; call < kCalls; ++call) {
     sizes.push_back(kSizes[random.Below(kSizes.size())]);
@@ -66,7 +66,7 @@
                                "&bytes=" + std::to_string(sizes.back()) +
                                (is_chunked ? "&chunked=1" : "");
     fleet.Send(random.Below(fleet.Size()), MakeRequest("GET", target, {{"X-Test-Id", IdOf(call)}}),
-               [&, call](const HttpAnswer& answer) {
+               [&, call](const HttpResponse& answer) {
                  answers[call] = answer;
                  ++ended;
                });
--- a/tests/integration/tst_pausedowner.cpp
+++ b/tests/integration/tst_pausedowner.cpp
@@ -36,24 +36,24 @@
 // Guards against work that an owner runs after a pause although its caller has long been told that
 // it failed.
 void RunsNoExpiredWork(const PauseCase& row) {
-  Fleet fleet({.servers = FrontedFleet(2, 1), .deadline_ms = 60000});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(2, 1), .deadline_ms = 60000});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   fleet.SetBackend(1, "hold=1");
   // Takes the only slot until the backend server is released.
   bool blocker_ended = false;
   fleet.Send(0, MakeRequest("GET", "/page?ms=0", {{"X-Test-Id", "blocker"}}),
-             [&](const HttpAnswer&) { blocker_ended = true; });
+             [&](const HttpResponse&) { blocker_ended = true; });
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.RunsOf("blocker").ran == 1; }));
 
   if (!row.queue_before_pause) fleet.Node(1).Signal(SIGSTOP);
-  std::array<HttpAnswer, kCalls> answers;
+  std::array<HttpResponse, kCalls> answers;
   std::size_t ended = 0;
   for (std::size_t call = 0; call < kCalls; ++call) {
     const HttpRequest request =
         MakeRequest(row.method, std::string(row.path) + "?ms=0",
                     {{"X-Test-Id", IdOf(call)},
                      {"Damaskhollow-Deadline-Ms", std::to_string(kShortDeadline.count())}});
-    fleet.Send(0, request, [&, call](const HttpAnswer& answer) {
+    fleet.Send(0, request, [&, call](const HttpResponse& answer) {
       answers[call] = answer;
       ++ended;
     });
--- a/tests/integration/tst_platformprogram.cpp
+++ b/tests/integration/tst_platformprogram.cpp
@@ -31,7 +31,7 @@
 
 // Guards against a request that is changed on its way, or an answer that is.
 void PassesRequestAndAnswerOn(PlatformFleet& fleet) {
-  const HttpAnswer answer = fleet.Call(0, "POST", "/look/a?b=c", "body");
+  const HttpResponse answer = fleet.Call(0, "POST", "/look/a?b=c", "body");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), 200, answer.status);
   CPPUNIT_ASSERT(answer.body.ends_with(" /look/a?b=c body"));
   CPPUNIT_ASSERT_EQUAL("seal-" + answer.Header("Request-Id"), answer.Header("Response-Seal"));
@@ -80,7 +80,7 @@
 // Guards against a second run of a request that must not run twice, and a refusal that says that it
 // did not run.
 void RunsUnsafeRequestOnce(PlatformFleet& fleet) {
-  const HttpAnswer answer = fleet.Call(0, "POST", "/lost/x");
+  const HttpResponse answer = fleet.Call(0, "POST", "/lost/x");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), 502, answer.status);
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, RunsOf(fleet, "/lost/x"));
 }
@@ -89,7 +89,7 @@
 void StopsWithoutCutting(PlatformFleet& fleet) {
   int answered = 0;
   for (int call = 0; call < 4; ++call) {
-    fleet.Send(0, "GET", "/slow/x", [&](const HttpAnswer& answer) {
+    fleet.Send(0, "GET", "/slow/x", [&](const HttpResponse& answer) {
       answered += answer.status == 200 && answer.complete ? 1 : 0;
     });
   }
@@ -115,7 +115,7 @@
   fleet.Node(1).Kill();
   fleet.Store().SetMode(StandInStore::Mode::kBusy);
   fleet.StartNode(0);
-  HttpAnswer answer;
+  HttpResponse answer;
   CPPUNIT_ASSERT(WaitUntil([&] {
     answer = fleet.Call(0, "GET", "/look/early");
     return answer.status != 0;
@@ -156,7 +156,7 @@
 
 // From the id of a request that lost its answer to the cause, as docs/OPERATIONS.md shows it.
 void LogTellsLostAnswer(PlatformFleet& fleet) {
-  const HttpAnswer answer = fleet.Call(0, "POST", "/lost/x");
+  const HttpResponse answer = fleet.Call(0, "POST", "/lost/x");
   CPPUNIT_ASSERT_EQUAL(502, answer.status);
   const std::string id = fleet.LastRequestId();
   AssertLogged(fleet, id, "dispatched", {"instance=i-", "in_flight="});
@@ -172,7 +172,7 @@
   int ended = 0;
   for (int call = 0; call < kFlood; ++call) {
     std::string id = fleet.NextRequestId();
-    fleet.Send(0, "GET", "/slow/x", [&refused, &ended, id](const HttpAnswer& answer) {
+    fleet.Send(0, "GET", "/slow/x", [&refused, &ended, id](const HttpResponse& answer) {
       ++ended;
       if (answer.status == 503) refused.push_back(id);
     });
--- a/tests/integration/tst_resentrequest.cpp
+++ b/tests/integration/tst_resentrequest.cpp
@@ -40,12 +40,12 @@
                "home_released"},
 };
 
-HttpAnswer Book(Fleet& fleet, std::size_t ingress, const std::string& id, std::size_t bytes) {
+HttpResponse Book(Fleet& fleet, std::size_t ingress, const std::string& id, std::size_t bytes) {
   return fleet.Call(ingress, "POST", "/book?ms=0&bytes=" + std::to_string(bytes),
                     {{"X-Test-Id", id}, {"Damaskhollow-Request-Id", id}});
 }
 
-std::size_t IndexOf(const HttpAnswer& answer) {
+std::size_t IndexOf(const HttpResponse& answer) {
   return std::stoul(answer.Header("Damaskhollow-Served-By").substr(1)) - 1;
 }
 
@@ -66,12 +66,12 @@
   }
   if (row.first == FirstSend::kRunning) fleet.SetBackends("hold=1");
   const std::string id = NewRequestId("booking");
-  HttpAnswer first;
+  HttpResponse first;
   bool first_ended = false;
   fleet.Send(0,
              MakeRequest("POST", "/book?ms=0&bytes=" + std::to_string(row.bytes),
                          {{"X-Test-Id", id}, {"Damaskhollow-Request-Id", id}}),
-             [&](const HttpAnswer& answer) {
+             [&](const HttpResponse& answer) {
                first = answer;
                first_ended = true;
              });
@@ -96,7 +96,7 @@
     }
   }
   // A home whose link was just lost counts as unreachable until the link is renewed or given up.
-  HttpAnswer second;
+  HttpResponse second;
   CPPUNIT_ASSERT_MESSAGE(
       fleet.NodeOutput(), WaitUntil([&] {
         second = Book(fleet, ingress, id, row.bytes);
@@ -136,7 +136,7 @@
 void RefusesInvalidId(const InvalidIdCase& row) {
   Fleet fleet({.servers = SmallFleet(1)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  const HttpAnswer answer = Book(fleet, 0, std::string(row.id), 0);
+  const HttpResponse answer = Book(fleet, 0, std::string(row.id), 0);
   CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("request_id_invalid"),
                                answer.ReasonName());
   CPPUNIT_ASSERT_EQUAL(0, fleet.RunsOf(row.id).ran);
--- a/tests/integration/tst_silentlink.cpp
+++ b/tests/integration/tst_silentlink.cpp
@@ -49,7 +49,7 @@
 class SilentLinkRun {
  public:
   explicit SilentLinkRun(const SilentCase& row)
-      : m_row(row), m_fleet({.servers = FrontedFleet(3, 8), .proxy_peers = true}) {}
+      : m_row(row), m_fleet({.servers = FleetWithIngressOnlyNode(3, 8), .proxy_peers = true}) {}
 
   void Run() {
     CPPUNIT_ASSERT_MESSAGE(m_fleet.NodeOutput(), m_fleet.Start());
@@ -76,7 +76,7 @@
         std::string(m_row.path) + "?ms=0&bytes=" + std::to_string(m_row.bytes);
     for (std::size_t call = 0; call < kCalls; ++call) {
       m_fleet.Send(0, MakeRequest(m_row.method, target, {{"X-Test-Id", IdOf(call)}}),
-                   [this, call](const HttpAnswer& answer) {
+                   [this, call](const HttpResponse& answer) {
                      m_answers[call] = answer;
                      ++m_ended;
                    });
@@ -109,7 +109,7 @@
   }
 
   void Check(std::size_t call) {
-    const HttpAnswer& answer = m_answers[call];
+    const HttpResponse& answer = m_answers[call];
     const RunCounts runs = m_fleet.RunsOf(IdOf(call));
     const std::string text = answer.Describe() + "; ran " + std::to_string(runs.ran);
     const std::string outcome = answer.Outcome();
@@ -129,7 +129,7 @@
 
   const SilentCase& m_row;
   Fleet m_fleet;
-  std::array<HttpAnswer, kCalls> m_answers;
+  std::array<HttpResponse, kCalls> m_answers;
   std::size_t m_ended = 0;
 };
 
--- a/tests/integration/tst_slowcallers.cpp
+++ b/tests/integration/tst_slowcallers.cpp
@@ -83,7 +83,7 @@
   const SlowCrowd crowd(fleet.Caller(0), row.callers, row.first_bytes);
   double most_bytes = 0.0;
   for (int call = 0; call < kCalls; ++call) {
-    const HttpAnswer answer = fleet.Call(0, "GET", row.path);
+    const HttpResponse answer = fleet.Call(0, "GET", row.path);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(answer.Describe(), std::string("answered"), answer.Outcome());
     most_bytes =
         std::max(most_bytes, fleet.Metric(0, "damaskhollow_process_resident_memory_bytes "));
--- a/tests/integration/tst_twofaults.cpp
+++ b/tests/integration/tst_twofaults.cpp
@@ -59,7 +59,7 @@
 void SilenceAndCrash(Fleet& fleet) {
   fleet.SetPeerLinks(0, 2, "silence=1");
   fleet.SetPeerLinks(0, 3, "silence=1");
-  fleet.Send(1, MakeRequest("POST", "/job?crash=1"), [](const HttpAnswer&) {});
+  fleet.Send(1, MakeRequest("POST", "/job?crash=1"), [](const HttpResponse&) {});
 }
 void RestartCrashed(Fleet& fleet) {
   for (std::size_t index = 0; index < fleet.Size(); ++index) {
--- a/tests/support/callledger.cpp
+++ b/tests/support/callledger.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr std::array<std::size_t, 4> kSizes{0, 10, 3000, 100000};
-constexpr std::size_t kLongestMs = 40;
+constexpr std::array<std::size_t, 4> kBodySizes{0, 10, 3000, 100000};
+constexpr std::size_t kMaxServiceMs = 40;
 
 }  // namespace
 
@@ -31,16 +31,16 @@
   Call call;
   call.id = "ledger-" + std::to_string(index);
   call.idempotent = m_random.Below(2) == 0;
-  call.bytes = kSizes[m_random.Below(kSizes.size())];
+  call.bytes = kBodySizes[m_random.Below(kBodySizes.size())];
   const std::string target = std::string(call.idempotent ? "/read" : "/book") +
-                             "?ms=" + std::to_string(m_random.Below(kLongestMs)) +
+                             "?ms=" + std::to_string(m_random.Below(kMaxServiceMs)) +
                              "&bytes=" + std::to_string(call.bytes);
   const HttpRequest request =
       MakeRequest(call.idempotent ? "GET" : "POST", target, {{"X-Test-Id", call.id}});
   m_calls.push_back(std::move(call));
   m_fleet.Send(m_ingresses[m_random.Below(m_ingresses.size())], request,
-               [this, index](const HttpAnswer& answer) {
-                 m_calls[index].answer = answer;
+               [this, index](const HttpResponse& response) {
+                 m_calls[index].response = response;
                  m_calls[index].ended = true;
                  ++m_ended;
                });
@@ -68,23 +68,23 @@
   }
   for (const Call& call : m_calls) {
     const RunCounts runs = RunsOf(call.id);
-    const std::string outcome = call.answer.Outcome();
+    const std::string outcome = call.response.Outcome();
     const std::string text =
-        call.id + ": " + call.answer.Describe() + "; ran " + std::to_string(runs.ran);
+        call.id + ": " + call.response.Describe() + "; ran " + std::to_string(runs.ran);
     if (!call.idempotent) CPPUNIT_ASSERT_MESSAGE(text, runs.ran <= 1);
     if (outcome == "not-run" || outcome == "refused") {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(text, 0, runs.ran);
     }
     if (outcome != "answered") continue;
     CPPUNIT_ASSERT_MESSAGE(text, runs.completed >= 1);
-    CPPUNIT_ASSERT_MESSAGE(text, call.answer.body == PatternBody(call.id, call.bytes));
+    CPPUNIT_ASSERT_MESSAGE(text, call.response.body == PatternBody(call.id, call.bytes));
   }
 }
 
 std::size_t CallLedger::Answered() const {
   std::size_t answered = 0;
   for (const Call& call : m_calls) {
-    if (call.answer.Outcome() == "answered") ++answered;
+    if (call.response.Outcome() == "answered") ++answered;
   }
   return answered;
 }
@@ -92,7 +92,7 @@
 std::string CallLedger::Summary() const {
   std::map<std::string, int> counts;
   for (const Call& call : m_calls) {
-    ++counts[call.answer.Outcome() + " " + call.answer.ReasonName()];
+    ++counts[call.response.Outcome() + " " + call.response.ReasonName()];
   }
   std::string text;
   for (const auto& [name, count] : counts) text += name + " " + std::to_string(count) + "; ";
--- a/tests/support/callledger.h
+++ b/tests/support/callledger.h
@@ -40,7 +40,7 @@
     bool idempotent = false;
     std::size_t bytes = 0;
     bool ended = false;
-    HttpAnswer answer;
+    HttpResponse response;
   };
 
   void SendOne();
--- a/tests/support/faultproxy/proxycontrol.cpp
+++ b/tests/support/faultproxy/proxycontrol.cpp
@@ -23,20 +23,20 @@
 
 void ProxyControl::HandleRequest(ConnectionId connection, const HttpRequest& request) {
   const std::string_view path = PathOf(request.target);
-  const QueryOptions options = QueryOptions::OfTarget(request.target);
+  const QueryOptions options = QueryOptions::FromTarget(request.target);
   bool is_known = path == "/control/statistics" || path == "/control/group";
   if (path == "/control/set") is_known = SetFaults(options);
   if (path == "/control/group") SetGroup(options);
-  m_server.Answer(connection, is_known ? 200 : 404, StatisticsText(),
-                  {{"Content-Type", "application/json"}});
+  m_server.SendResponse(connection, is_known ? 200 : 404, StatisticsJson(),
+                        {{"Content-Type", "application/json"}});
 }
 
 bool ProxyControl::SetFaults(const QueryOptions& options) {
-  const bool all = !options.Has("pair") || options.Text("pair") == "all";
-  const auto wanted = static_cast<std::size_t>(options.Number("pair", 0.0));
-  if (!all && wanted >= m_pairs.size()) return false;
+  const bool all_pairs = !options.Has("pair") || options.Text("pair") == "all";
+  const auto requested_pair = static_cast<std::size_t>(options.Number("pair", 0.0));
+  if (!all_pairs && requested_pair >= m_pairs.size()) return false;
   for (std::size_t index = 0; index < m_pairs.size(); ++index) {
-    if (!all && index != wanted) continue;
+    if (!all_pairs && index != requested_pair) continue;
     if (options.Has("group")) {
       Group& group = m_groups[static_cast<int>(options.Number("group", 0.0))];
       const bool flip = options.IsOn("flip");
@@ -54,7 +54,7 @@
   group.down.bytes_per_second = bytes_per_second;
 }
 
-std::string ProxyControl::StatisticsText() const {
+std::string ProxyControl::StatisticsJson() const {
   QJsonArray json;
   for (const std::unique_ptr<ProxyPair>& pair : m_pairs) json.append(pair->Statistics());
   return QJsonDocument(json).toJson(QJsonDocument::Compact).toStdString();
--- a/tests/support/faultproxy/proxycontrol.h
+++ b/tests/support/faultproxy/proxycontrol.h
@@ -31,7 +31,7 @@
   void HandleRequest(ConnectionId connection, const HttpRequest& request);
   bool SetFaults(const QueryOptions& options);
   void SetGroup(const QueryOptions& options);
-  std::string StatisticsText() const;
+  std::string StatisticsJson() const;
 
   HttpServer m_server;
   std::map<int, Group> m_groups;
--- a/tests/support/faultproxy/proxypair.cpp
+++ b/tests/support/faultproxy/proxypair.cpp
@@ -48,13 +48,13 @@
     connection.up = std::make_unique<Relay>(*connection.client, *connection.server, m_up);
     connection.down = std::make_unique<Relay>(*connection.server, *connection.client, m_down);
     connect(connection.client.get(), &QTcpSocket::disconnected, this,
-            [this, id] { NoteClosed(id, true); });
+            [this, id] { OnClosed(id, true); });
     connect(connection.server.get(), &QTcpSocket::disconnected, this,
-            [this, id] { NoteClosed(id, false); });
+            [this, id] { OnClosed(id, false); });
     connect(connection.server.get(), &QTcpSocket::errorOccurred, this, [this, id] {
       const auto found = m_connections.find(id);
       if (found == m_connections.end()) return;
-      if (found->second.server->state() == QAbstractSocket::UnconnectedState) NoteClosed(id, false);
+      if (found->second.server->state() == QAbstractSocket::UnconnectedState) OnClosed(id, false);
     });
     connect(connection.server.get(), &QTcpSocket::connected, this, [this, id] {
       // Options set before the connection was made do not stick.
@@ -70,7 +70,7 @@
   }
 }
 
-void ProxyPair::NoteClosed(int id, bool by_client) {
+void ProxyPair::OnClosed(int id, bool by_client) {
   const auto found = m_connections.find(id);
   if (found == m_connections.end()) return;
   Connection& connection = found->second;
@@ -82,8 +82,8 @@
     if (!client_open && !server_open) Remove(id);
     return;
   }
-  if (by_client && server_open) return connection.up->NoteSenderClosed();
-  if (!by_client && client_open) return connection.down->NoteSenderClosed();
+  if (by_client && server_open) return connection.up->OnSenderClosed();
+  if (!by_client && client_open) return connection.down->OnSenderClosed();
   Remove(id);
 }
 
--- a/tests/support/faultproxy/proxypair.h
+++ b/tests/support/faultproxy/proxypair.h
@@ -43,7 +43,7 @@
   };
 
   void Accept();
-  void NoteClosed(int connection, bool by_client);
+  void OnClosed(int connection, bool by_client);
   void Remove(int connection);
   void SetCut(bool cut);
   void SilenceAll();
--- a/tests/support/faultproxy/relay.cpp
+++ b/tests/support/faultproxy/relay.cpp
@@ -9,12 +9,12 @@
 
 constexpr qint64 kReadBytes = 64LL * 1024LL;
 // Bytes under way on a link; more stay with the sender.
-constexpr std::size_t kKeptBytes = 512UL * 1024UL;
-constexpr std::size_t kHeldBytes = 64UL * 1024UL * 1024UL;
+constexpr std::size_t kMaxBufferedBytes = 512UL * 1024UL;
+constexpr std::size_t kMaxHeldBytes = 64UL * 1024UL * 1024UL;
 
 }  // namespace
 
-ProxyClock::time_point SharedLink::Pass(std::size_t bytes) {
+ProxyClock::time_point SharedLink::Transmit(std::size_t bytes) {
   const ProxyClock::time_point now = ProxyClock::now();
   if (bytes_per_second <= 0.0) return now;
   const std::chrono::duration<double> duration(static_cast<double>(bytes) / bytes_per_second);
@@ -43,14 +43,14 @@
 }
 
 void Relay::Read() {
-  const std::size_t limit = m_faults.hold ? kHeldBytes : kKeptBytes;
-  while (!m_faults.freeze && m_kept_bytes < limit && m_from.bytesAvailable() > 0) {
+  const std::size_t limit = m_faults.hold ? kMaxHeldBytes : kMaxBufferedBytes;
+  while (!m_faults.freeze && m_buffered_bytes < limit && m_from.bytesAvailable() > 0) {
     QByteArray data = m_from.read(kReadBytes);
     const auto size = static_cast<std::size_t>(data.size());
-    m_kept_bytes += size;
-    const ProxyClock::time_point passed =
-        m_faults.link == nullptr ? ProxyClock::now() : m_faults.link->Pass(size);
-    m_pieces.push_back({passed + m_faults.delay, std::move(data)});
+    m_buffered_bytes += size;
+    const ProxyClock::time_point transmitted_at =
+        m_faults.link == nullptr ? ProxyClock::now() : m_faults.link->Transmit(size);
+    m_pieces.push_back({transmitted_at + m_faults.delay, std::move(data)});
   }
 }
 
@@ -58,10 +58,10 @@
   if (m_to.state() != QAbstractSocket::ConnectedState || m_faults.hold) return;
   const ProxyClock::time_point now = ProxyClock::now();
   while (!m_pieces.empty() && m_pieces.front().due <= now &&
-         m_to.bytesToWrite() < static_cast<qint64>(kKeptBytes)) {
+         m_to.bytesToWrite() < static_cast<qint64>(kMaxBufferedBytes)) {
     const Piece piece = std::move(m_pieces.front());
     m_pieces.pop_front();
-    m_kept_bytes -= static_cast<std::size_t>(piece.data.size());
+    m_buffered_bytes -= static_cast<std::size_t>(piece.data.size());
     m_faults.bytes += static_cast<std::uint64_t>(piece.data.size());
     m_to.write(piece.data);
   }
@@ -80,7 +80,7 @@
   m_from.readAll();
 }
 
-void Relay::NoteSenderClosed() {
+void Relay::OnSenderClosed() {
   m_sender_closed = true;
   if (!m_silent) Update();
 }
--- a/tests/support/faultproxy/relay.h
+++ b/tests/support/faultproxy/relay.h
@@ -20,7 +20,7 @@
   ProxyClock::time_point busy_until{};
 
   // When bytes that arrive now have passed the link.
-  ProxyClock::time_point Pass(std::size_t bytes);
+  ProxyClock::time_point Transmit(std::size_t bytes);
 };
 
 // What happens to the bytes of one direction of a pair.
@@ -44,7 +44,7 @@
   void Silence();
 
   // The sender closed; the receiver is closed after the last byte.
-  void NoteSenderClosed();
+  void OnSenderClosed();
 
  private:
   struct Piece {
@@ -59,7 +59,7 @@
   QTcpSocket& m_to;
   DirectionFaults& m_faults;
   std::deque<Piece> m_pieces;
-  std::size_t m_kept_bytes = 0;
+  std::size_t m_buffered_bytes = 0;
   bool m_silent = false;
   bool m_sender_closed = false;
   QTimer m_timer;
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -27,7 +27,7 @@
   {"methods": ["POST"], "path_prefix": "/job", "priority": "bulk", "idempotent": false}])";
 constexpr int kShedStatus = 503;
 constexpr int kDrainStatus = 503;
-constexpr std::chrono::milliseconds kControlLimit{10000};
+constexpr std::chrono::milliseconds kControlTimeout{10000};
 constexpr std::size_t kOutputTailBytes = 2000;
 
 QJsonValue ParseJson(std::string_view text) {
@@ -60,7 +60,7 @@
   return servers;
 }
 
-std::vector<FleetServer> FrontedFleet(int count, int slots) {
+std::vector<FleetServer> FleetWithIngressOnlyNode(int count, int slots) {
   std::vector<FleetServer> servers = SmallFleet(count, slots);
   servers.front().service = "front";
   return servers;
@@ -168,10 +168,10 @@
 }
 
 std::string Fleet::Declaration() const {
-  std::map<std::string, std::set<std::string>> places;
+  std::map<std::string, std::set<std::string>> data_centres_by_region;
   QJsonArray servers;
   for (const Server& server : m_servers) {
-    places[server.plan.region].insert(server.plan.data_centre);
+    data_centres_by_region[server.plan.region].insert(server.plan.data_centre);
     QJsonObject json;
     json.insert("id", ToQString(server.plan.id));
     json.insert("service", ToQString(server.plan.service));
@@ -184,7 +184,7 @@
     servers.append(json);
   }
   QJsonArray regions;
-  for (const auto& [region, data_centres] : places) {
+  for (const auto& [region, data_centres] : data_centres_by_region) {
     QJsonArray names;
     for (const std::string& data_centre : data_centres) names.append(ToQString(data_centre));
     regions.append(QJsonObject{{"id", ToQString(region)}, {"data_centres", names}});
@@ -274,13 +274,13 @@
   });
 }
 
-HttpAnswer Fleet::Fetch(const Endpoint& endpoint, std::string_view method,
-                        std::string_view target) {
-  return m_client.Fetch(endpoint, MakeRequest(method, target), kControlLimit);
+HttpResponse Fleet::Fetch(const Endpoint& endpoint, std::string_view method,
+                          std::string_view target) {
+  return m_client.Fetch(endpoint, MakeRequest(method, target), kControlTimeout);
 }
 
-HttpAnswer Fleet::Call(std::size_t index, std::string_view method, std::string_view target,
-                       std::vector<HttpHeader> headers, std::string body) {
+HttpResponse Fleet::Call(std::size_t index, std::string_view method, std::string_view target,
+                         std::vector<HttpHeader> headers, std::string body) {
   headers.push_back({"Host", "shop.test"});
   return m_client.Fetch(m_servers[index].caller,
                         MakeRequest(method, target, std::move(headers), std::move(body)));
@@ -392,7 +392,7 @@
   const int status =
       m_client
           .Fetch(m_platform_endpoint,
-                 MakeRequest(method, target, std::move(headers), std::move(body)), kControlLimit)
+                 MakeRequest(method, target, std::move(headers), std::move(body)), kControlTimeout)
           .status;
   return status >= 200 && status < 300;
 }
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -49,7 +49,7 @@
 std::vector<FleetServer> SmallFleet(int count, int slots = 4);
 
 // The same, but the first server belongs to "front": calls through its node go to other nodes.
-std::vector<FleetServer> FrontedFleet(int count, int slots = 4);
+std::vector<FleetServer> FleetWithIngressOnlyNode(int count, int slots = 4);
 
 // How often requests with a test id ran on all backend servers.
 struct RunCounts {
@@ -97,8 +97,8 @@
   bool WaitUntilLinked(std::size_t index);
 
   // Sends a request through a node's caller port.
-  HttpAnswer Call(std::size_t index, std::string_view method, std::string_view target,
-                  std::vector<HttpHeader> headers = {}, std::string body = {});
+  HttpResponse Call(std::size_t index, std::string_view method, std::string_view target,
+                    std::vector<HttpHeader> headers = {}, std::string body = {});
 
   // Sends a request through a node's caller port without waiting.
   ConnectionId Send(std::size_t index, const HttpRequest& request, HttpClient::Done done);
@@ -181,7 +181,7 @@
   std::string LogFile(std::string_view name) const;
   void SetProxy(std::size_t pair, std::string_view query);
   bool IsBetweenRegions(const PeerPair& pair) const;
-  HttpAnswer Fetch(const Endpoint& endpoint, std::string_view method, std::string_view target);
+  HttpResponse Fetch(const Endpoint& endpoint, std::string_view method, std::string_view target);
 
   FleetOptions m_options;
   QTemporaryDir m_folder;
--- a/tests/support/fleetdemo/main.cpp
+++ b/tests/support/fleetdemo/main.cpp
@@ -26,9 +26,9 @@
 
 constexpr int kServiceMs = 40;
 constexpr int kSlots = 4;
-constexpr std::chrono::seconds kEndLimit{60};
-constexpr int kLongestSeconds = 600;
-constexpr int kLongestStaySeconds = 3600;
+constexpr std::chrono::seconds kCompletionTimeout{60};
+constexpr int kMaxLoadSeconds = 600;
+constexpr int kMaxStaySeconds = 3600;
 
 // One kind of calls of the demo. The rates follow a capacity of 6 x 4 slots / 40 ms = 600 calls/s.
 struct DemoStream {
@@ -50,15 +50,15 @@
 constexpr double kFloodCallsPerSecond = 1200.0;
 
 std::vector<FleetServer> DemoServers() {
-  constexpr std::array kPlaces{std::pair{"west", "w1"}, std::pair{"east", "e1"},
-                               std::pair{"west", "w2"}, std::pair{"east", "e2"}};
+  constexpr std::array kLocations{std::pair{"west", "w1"}, std::pair{"east", "e1"},
+                                  std::pair{"west", "w2"}, std::pair{"east", "e2"}};
   constexpr std::size_t kServers = 6;
   std::vector<FleetServer> servers;
   for (std::size_t index = 0; index < kServers; ++index) {
     FleetServer server;
     server.id = "s" + std::to_string(index + 1);
-    server.region = kPlaces[index % kPlaces.size()].first;
-    server.data_centre = kPlaces[index % kPlaces.size()].second;
+    server.region = kLocations[index % kLocations.size()].first;
+    server.data_centre = kLocations[index % kLocations.size()].second;
     server.slots = kSlots;
     server.backend_arguments = {"--service-ms=" + std::to_string(kServiceMs)};
     servers.push_back(server);
@@ -95,10 +95,10 @@
 }
 
 // Prints the table and returns whether every call is accounted for.
-bool Report(const LoadGenerator& load) {
+bool PrintReport(const LoadGenerator& load) {
   TextTable table("calls by priority", {"stream", "sent", "answered", "not-run", "unknown",
                                         "p50 ms", "p99 ms", "reasons"});
-  bool is_accounted = true;
+  bool all_accounted_for = true;
   for (std::size_t index = 0; index < kStreams.size(); ++index) {
     const LoadCounts& counts = load.Counts(index);
     const std::size_t answered = counts.Count("answered");
@@ -109,10 +109,10 @@
                   FormatNumber(counts.Quantile(0.5), 1), FormatNumber(counts.Quantile(0.99), 1),
                   ReasonsText(counts)});
     // The demo injects no fault, so no outcome may be unknown.
-    is_accounted = is_accounted && answered + not_run == counts.sent && unknown == 0;
+    all_accounted_for = all_accounted_for && answered + not_run == counts.sent && unknown == 0;
   }
   table.Print(std::cout);
-  return is_accounted;
+  return all_accounted_for;
 }
 
 int RunDemo(std::chrono::seconds duration, std::uint64_t seed) {
@@ -131,20 +131,21 @@
   load.SetRate(kBulkStream, kFloodCallsPerSecond);
   damaskhollow::test::RunFor(duration / 3);
   load.SetRate(kBulkStream, kStreams[kBulkStream].calls_per_second);
-  if (!damaskhollow::test::WaitUntil([&] { return load.IsDone(); }, duration + kEndLimit)) {
+  if (!damaskhollow::test::WaitUntil([&] { return load.IsDone(); },
+                                     duration + kCompletionTimeout)) {
     std::cerr << "calls are still open after the end of the load\n";
     return 1;
   }
-  const bool is_accounted = Report(load);
-  if (!is_accounted) std::cerr << "what the nodes printed:\n" << fleet.NodeOutput() << '\n';
-  std::cout << (is_accounted ? "every call is accounted for: answered + not-run = sent"
-                             : "NOT every call is accounted for")
+  const bool all_accounted_for = PrintReport(load);
+  if (!all_accounted_for) std::cerr << "what the nodes printed:\n" << fleet.NodeOutput() << '\n';
+  std::cout << (all_accounted_for ? "every call is accounted for: answered + not-run = sent"
+                                  : "NOT every call is accounted for")
             << std::endl;
-  return is_accounted ? 0 : 1;
+  return all_accounted_for ? 0 : 1;
 }
 
 // Starts the fleet with the platform stand-in and leaves it up for operators to try commands on.
-int Stay(std::chrono::seconds duration) {
+int KeepFleetRunning(std::chrono::seconds duration) {
   Fleet fleet(FleetOptions{.servers = DemoServers(), .with_platform = true});
   if (!fleet.Start()) {
     std::cerr << "the fleet did not start:\n" << fleet.NodeOutput() << '\n';
@@ -179,10 +180,10 @@
                      {"stay", "No load: leave the fleet up for so many seconds, 1 to 3600.", "N"}});
   parser.process(application);
   if (parser.isSet("stay")) {
-    const int stay_seconds = std::clamp(parser.value("stay").toInt(), 1, kLongestStaySeconds);
-    return Stay(std::chrono::seconds(stay_seconds));
+    const int stay_seconds = std::clamp(parser.value("stay").toInt(), 1, kMaxStaySeconds);
+    return KeepFleetRunning(std::chrono::seconds(stay_seconds));
   }
-  const int seconds = std::clamp(parser.value("seconds").toInt(), 3, kLongestSeconds);
+  const int seconds = std::clamp(parser.value("seconds").toInt(), 3, kMaxLoadSeconds);
   const std::uint64_t seed = parser.value("seed").toULongLong();
   return RunDemo(std::chrono::seconds(seconds), seed);
 }
--- a/tests/support/freeport.cpp
+++ b/tests/support/freeport.cpp
@@ -13,18 +13,18 @@
 // Below the range from which the kernel takes ports of outgoing connections, as one of those could
 // take the port before the program listens.
 constexpr std::uint16_t kFirstPort = 10000;
-constexpr std::uint16_t kPorts = 20000;
+constexpr std::uint16_t kPortCount = 20000;
 
 }  // namespace
 
 Endpoint FreeEndpoint() {
   static RandomSource random(SystemSeed());
-  static std::set<std::uint16_t> given;
+  static std::set<std::uint16_t> allocated;
   while (true) {
-    const auto port = static_cast<std::uint16_t>(kFirstPort + random.Below(kPorts));
+    const auto port = static_cast<std::uint16_t>(kFirstPort + random.Below(kPortCount));
     QTcpServer server;
-    if (given.contains(port) || !server.listen(QHostAddress::LocalHost, port)) continue;
-    given.insert(port);
+    if (allocated.contains(port) || !server.listen(QHostAddress::LocalHost, port)) continue;
+    allocated.insert(port);
     return Endpoint{"127.0.0.1", port};
   }
 }
--- a/tests/support/httpclient.cpp
+++ b/tests/support/httpclient.cpp
@@ -9,35 +9,35 @@
 namespace {
 
 constexpr std::size_t kUnlimitedCredit = static_cast<std::size_t>(1) << 40U;
-constexpr std::chrono::milliseconds kFetchGrace{5000};
-constexpr std::size_t kDescribedBytes = 200;
+constexpr std::chrono::milliseconds kFetchWaitMargin{5000};
+constexpr std::size_t kMaxDescribedBytes = 200;
 
 }  // namespace
 
-std::string HttpAnswer::Outcome() const {
+std::string HttpResponse::Outcome() const {
   if (status == 0) return failure == Reason::kBackendUnreachable ? "refused" : "unknown";
   const std::string outcome = Header("Damaskhollow-Outcome");
   return complete || outcome != "answered" ? outcome : "unknown";
 }
 
-std::string HttpAnswer::ReasonName() const { return Header("Damaskhollow-Reason"); }
+std::string HttpResponse::ReasonName() const { return Header("Damaskhollow-Reason"); }
 
-std::string HttpAnswer::Header(std::string_view name) const {
+std::string HttpResponse::Header(std::string_view name) const {
   return std::string(FindHeader(headers, name));
 }
 
-std::string HttpAnswer::Describe() const {
+std::string HttpResponse::Describe() const {
   return "status " + std::to_string(status) + ", outcome " + Outcome() + ", reason " +
          ReasonName() + (complete ? ", whole, " : ", cut, ") + std::to_string(body.size()) +
-         " bytes: " + body.substr(0, status == 200 ? 0 : kDescribedBytes);
+         " bytes: " + body.substr(0, status == 200 ? 0 : kMaxDescribedBytes);
 }
 
 HttpClient::~HttpClient() = default;
 
 ConnectionId HttpClient::Send(const Endpoint& endpoint, const HttpRequest& request,
                               std::chrono::milliseconds timeout, Done done) {
-  const ConnectionId id = TakeConnection(endpoint);
-  m_pending.emplace(id, Exchange{endpoint, HttpAnswer(), std::move(done)});
+  const ConnectionId id = AcquireConnection(endpoint);
+  m_pending.emplace(id, Exchange{endpoint, HttpResponse(), std::move(done)});
   HttpRequest complete = request;
   if (!HasHeader(complete.headers, "Host")) {
     complete.headers.push_back({"Host", ToString(endpoint)});
@@ -46,7 +46,7 @@
   return id;
 }
 
-ConnectionId HttpClient::TakeConnection(const Endpoint& endpoint) {
+ConnectionId HttpClient::AcquireConnection(const Endpoint& endpoint) {
   std::vector<ConnectionId>& idle = m_idle[endpoint];
   if (!idle.empty()) {
     const ConnectionId id = idle.back();
@@ -64,29 +64,29 @@
   Remove(connection);
 }
 
-HttpAnswer HttpClient::Fetch(const Endpoint& endpoint, const HttpRequest& request,
-                             std::chrono::milliseconds timeout) {
-  HttpAnswer result;
+HttpResponse HttpClient::Fetch(const Endpoint& endpoint, const HttpRequest& request,
+                               std::chrono::milliseconds timeout) {
+  HttpResponse result;
   bool is_done = false;
-  Send(endpoint, request, timeout, [&](const HttpAnswer& answer) {
-    result = answer;
+  Send(endpoint, request, timeout, [&](const HttpResponse& response) {
+    result = response;
     is_done = true;
   });
-  WaitUntil([&] { return is_done; }, timeout + kFetchGrace);
+  WaitUntil([&] { return is_done; }, timeout + kFetchWaitMargin);
   return result;
 }
 
 void HttpClient::OnBackendPart(ConnectionId connection, AnswerPart part, bool reusable) {
   const auto found = m_pending.find(connection);
   if (found == m_pending.end()) return;
-  HttpAnswer& answer = found->second.answer;
+  HttpResponse& response = found->second.response;
   if (part.head) {
-    answer.status = part.head->status;
-    answer.headers = std::move(part.head->headers);
+    response.status = part.head->status;
+    response.headers = std::move(part.head->headers);
   }
-  answer.body += part.data;
+  response.body += part.data;
   if (!part.last) return;
-  answer.complete = true;
+  response.complete = true;
   if (reusable && m_reuse) {
     m_idle[found->second.endpoint].push_back(connection);
   } else {
@@ -98,7 +98,7 @@
 void HttpClient::OnBackendFailed(ConnectionId connection, Reason reason, bool) {
   const auto found = m_pending.find(connection);
   if (found == m_pending.end()) return;
-  found->second.answer.failure = reason;
+  found->second.response.failure = reason;
   Remove(connection);
   Finish(connection);
 }
@@ -121,7 +121,7 @@
   m_pending.erase(found);
   // From the event loop, so that a receiver may delete the client.
   QMetaObject::invokeMethod(
-      this, [exchange] { exchange.done(exchange.answer); }, Qt::QueuedConnection);
+      this, [exchange] { exchange.done(exchange.response); }, Qt::QueuedConnection);
 }
 
 HttpRequest MakeRequest(std::string_view method, std::string_view target,
--- a/tests/support/httpclient.h
+++ b/tests/support/httpclient.h
@@ -18,7 +18,7 @@
 namespace damaskhollow::test {
 
 // What came back for a request.
-struct HttpAnswer {
+struct HttpResponse {
   bool complete = false;  // The whole answer arrived.
   Reason failure = Reason::kNone;
   int status = 0;  // 0: not even the head arrived.
@@ -41,7 +41,7 @@
 // Sends HTTP requests on the calling thread's event loop. It never sends a request twice.
 class HttpClient : public QObject, public BackendEvents {
  public:
-  using Done = std::function<void(const HttpAnswer&)>;
+  using Done = std::function<void(const HttpResponse&)>;
 
   // With `reuse` connections are kept for further requests to the same address.
   explicit HttpClient(bool reuse = false) : m_reuse(reuse) {}
@@ -55,8 +55,8 @@
   void Cancel(ConnectionId connection);
 
   // Sends a request and runs the event loop until it is done.
-  HttpAnswer Fetch(const Endpoint& endpoint, const HttpRequest& request,
-                   std::chrono::milliseconds timeout = std::chrono::milliseconds(30000));
+  HttpResponse Fetch(const Endpoint& endpoint, const HttpRequest& request,
+                     std::chrono::milliseconds timeout = std::chrono::milliseconds(30000));
 
   std::size_t Pending() const { return m_pending.size(); }
 
@@ -67,11 +67,11 @@
  private:
   struct Exchange {
     Endpoint endpoint;
-    HttpAnswer answer;
+    HttpResponse response;
     Done done;
   };
 
-  ConnectionId TakeConnection(const Endpoint& endpoint);
+  ConnectionId AcquireConnection(const Endpoint& endpoint);
   void Remove(ConnectionId connection);
   void Finish(ConnectionId connection);
 
--- a/tests/support/httpserver.cpp
+++ b/tests/support/httpserver.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-HttpServer::HttpServer(RequestHandler handle, GoneHandler gone)
-    : m_handle(std::move(handle)), m_gone(std::move(gone)), m_budget(kBodyBudgetBytes) {
+HttpServer::HttpServer(RequestHandler handle, ClosedHandler on_closed)
+    : m_handle(std::move(handle)), m_on_closed(std::move(on_closed)), m_budget(kBodyBudgetBytes) {
   setListenBacklogSize(kListenBacklog);
 }
 
@@ -32,8 +32,8 @@
   return found == m_connections.end() ? nullptr : found->second.get();
 }
 
-void HttpServer::Answer(ConnectionId connection, int status, std::string_view body,
-                        std::vector<HttpHeader> headers) {
+void HttpServer::SendResponse(ConnectionId connection, int status, std::string_view body,
+                              std::vector<HttpHeader> headers) {
   CallerConnection* caller = Find(connection);
   if (caller == nullptr) return;
   HttpResponseHead head;
@@ -46,8 +46,8 @@
   caller->FinishAnswer(number);
 }
 
-void HttpServer::AnswerChunked(ConnectionId connection, int status, std::string_view body,
-                               std::size_t chunk_bytes, std::vector<HttpHeader> headers) {
+void HttpServer::SendChunkedResponse(ConnectionId connection, int status, std::string_view body,
+                                     std::size_t chunk_bytes, std::vector<HttpHeader> headers) {
   CallerConnection* caller = Find(connection);
   if (caller == nullptr) return;
   HttpResponseHead head;
@@ -75,14 +75,14 @@
 }
 
 void HttpServer::OnBadRequest(ExchangeId exchange, Reason reason) {
-  Answer(exchange.connection, InfoOf(reason).http_status, InfoOf(reason).name);
+  SendResponse(exchange.connection, InfoOf(reason).http_status, InfoOf(reason).name);
 }
 
 void HttpServer::OnBodySent(ExchangeId, std::size_t) {}
 
 void HttpServer::OnCallerGone(ConnectionId connection) {
   Remove(connection);
-  if (m_gone) m_gone(connection);
+  if (m_on_closed) m_on_closed(connection);
 }
 
 void HttpServer::Remove(ConnectionId connection) {
--- a/tests/support/httpserver.h
+++ b/tests/support/httpserver.h
@@ -20,11 +20,11 @@
 class HttpServer : public QTcpServer, public CallerEvents {
  public:
   using RequestHandler = std::function<void(ConnectionId, HttpRequest)>;
-  using GoneHandler = std::function<void(ConnectionId)>;
+  using ClosedHandler = std::function<void(ConnectionId)>;
 
   // `handle` gets each whole request and answers it at once or later. `gone` hears of connections
   // that the caller closed.
-  explicit HttpServer(RequestHandler handle, GoneHandler gone = nullptr);
+  explicit HttpServer(RequestHandler handle, ClosedHandler on_closed = nullptr);
   ~HttpServer() override;
 
   // False if the address cannot be used.
@@ -34,12 +34,12 @@
   CallerConnection* Find(ConnectionId connection);
 
   // Answers the present request with a body of known length.
-  void Answer(ConnectionId connection, int status, std::string_view body,
-              std::vector<HttpHeader> headers = {});
+  void SendResponse(ConnectionId connection, int status, std::string_view body,
+                    std::vector<HttpHeader> headers = {});
 
   // Answers the present request in chunks of at most `chunk_bytes`.
-  void AnswerChunked(ConnectionId connection, int status, std::string_view body,
-                     std::size_t chunk_bytes, std::vector<HttpHeader> headers = {});
+  void SendChunkedResponse(ConnectionId connection, int status, std::string_view body,
+                           std::size_t chunk_bytes, std::vector<HttpHeader> headers = {});
 
   // Closes the connection without an answer.
   void Abort(ConnectionId connection);
@@ -57,7 +57,7 @@
   void Remove(ConnectionId connection);
 
   RequestHandler m_handle;
-  GoneHandler m_gone;
+  ClosedHandler m_on_closed;
   BodyBudget m_budget;
   std::uint64_t m_next_connection = 1;
   std::unordered_map<ConnectionId, std::unique_ptr<CallerConnection>> m_connections;
--- a/tests/support/loadgenerator.cpp
+++ b/tests/support/loadgenerator.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kTick{1};
-constexpr std::chrono::milliseconds kCallLimit{30000};
+constexpr std::chrono::milliseconds kTickInterval{1};
+constexpr std::chrono::milliseconds kCallTimeout{30000};
 // Without a rate a stream looks again after this time.
-constexpr std::chrono::milliseconds kIdleGap{100};
+constexpr std::chrono::milliseconds kZeroRateRecheckInterval{100};
 
 }  // namespace
 
@@ -20,10 +20,10 @@
   return found == by_outcome.end() ? 0 : found->second;
 }
 
-double LoadCounts::Quantile(double part) const {
+double LoadCounts::Quantile(double quantile) const {
   if (latencies_ms.empty()) return 0.0;
   std::vector<double> sorted = latencies_ms;
-  const auto rank = static_cast<std::size_t>(part * static_cast<double>(sorted.size()));
+  const auto rank = static_cast<std::size_t>(quantile * static_cast<double>(sorted.size()));
   const auto position =
       sorted.begin() + static_cast<std::ptrdiff_t>(std::min(rank, sorted.size() - 1));
   std::nth_element(sorted.begin(), position, sorted.end());
@@ -51,7 +51,7 @@
   for (std::size_t stream = 0; stream < m_streams.size(); ++stream) {
     m_next[stream] = now + NextGap(stream);
   }
-  m_timer.start(kTick);
+  m_timer.start(kTickInterval);
 }
 
 void LoadGenerator::SetRate(std::size_t stream, double rate_per_second) {
@@ -66,7 +66,7 @@
 
 LoadGenerator::Clock::duration LoadGenerator::NextGap(std::size_t stream) {
   const double rate = m_streams[stream].rate_per_second;
-  if (rate <= 0.0) return kIdleGap;
+  if (rate <= 0.0) return kZeroRateRecheckInterval;
   const std::chrono::duration<double> gap(-std::log(1.0 - m_random.Unit()) / rate);
   return std::chrono::duration_cast<Clock::duration>(gap);
 }
@@ -91,18 +91,20 @@
   ++m_counts[stream].sent;
   ++m_pending;
   const std::vector<Endpoint>& targets = m_streams[stream].targets;
-  m_client.Send(targets[m_random.Below(targets.size())], m_streams[stream].request, kCallLimit,
-                [this, stream, due](const HttpAnswer& answer) { NoteAnswer(stream, due, answer); });
+  m_client.Send(targets[m_random.Below(targets.size())], m_streams[stream].request, kCallTimeout,
+                [this, stream, due](const HttpResponse& response) {
+                  RecordCallResult(stream, due, response);
+                });
 }
 
-void LoadGenerator::NoteAnswer(std::size_t stream, Clock::time_point due,
-                               const HttpAnswer& answer) {
+void LoadGenerator::RecordCallResult(std::size_t stream, Clock::time_point due,
+                                     const HttpResponse& response) {
   --m_pending;
   LoadCounts& counts = m_counts[stream];
-  const bool is_whole_direct_answer = m_streams[stream].is_direct && answer.complete;
-  const std::string outcome = is_whole_direct_answer ? "answered" : answer.Outcome();
+  const bool is_complete_direct_response = m_streams[stream].is_direct && response.complete;
+  const std::string outcome = is_complete_direct_response ? "answered" : response.Outcome();
   ++counts.by_outcome[outcome];
-  if (const std::string reason = answer.ReasonName(); !reason.empty()) ++counts.by_reason[reason];
+  if (const std::string reason = response.ReasonName(); !reason.empty()) ++counts.by_reason[reason];
   if (outcome != "answered") return;
   const std::chrono::duration<double, std::milli> latency = Clock::now() - due;
   counts.latencies_ms.push_back(latency.count());
--- a/tests/support/loadgenerator.h
+++ b/tests/support/loadgenerator.h
@@ -36,7 +36,7 @@
   std::size_t Count(const std::string& outcome) const;
 
   // The latency below which this part of the answered calls stayed; 0 without calls.
-  double Quantile(double part) const;
+  double Quantile(double quantile) const;
 };
 
 // Sends calls at given rates however long the answers take, with seeded exponential gaps. Runs on
@@ -65,7 +65,7 @@
 
   void SendDue();
   void SendOne(std::size_t stream, Clock::time_point due);
-  void NoteAnswer(std::size_t stream, Clock::time_point due, const HttpAnswer& answer);
+  void RecordCallResult(std::size_t stream, Clock::time_point due, const HttpResponse& response);
   Clock::duration NextGap(std::size_t stream);
 
   std::vector<LoadStream> m_streams;
--- a/tests/support/platformfleet.cpp
+++ b/tests/support/platformfleet.cpp
@@ -29,26 +29,27 @@
 void StandInInstance::Handle(ConnectionId connection, const HttpRequest& request) {
   const HttpHeader load{"Instance-Load", "1,0,9,100"};
   if (request.target == "/healthz") {
-    return m_server.Answer(connection, 200, "", {{"Instance-Id", m_id}, load});
+    return m_server.SendResponse(connection, 200, "", {{"Instance-Id", m_id}, load});
   }
   const std::string request_id(FindHeader(request.headers, "Request-Id"));
   if (FindHeader(request.headers, "Expect-Instance") != m_id) {
-    return m_server.Answer(connection, 421, "",
-                           {{"Request-Id", request_id}, {"Not-Executed", "misdirected"}});
+    return m_server.SendResponse(connection, 421, "",
+                                 {{"Request-Id", request_id}, {"Not-Executed", "misdirected"}});
   }
   const Run run{request_id, std::string(FindHeader(request.headers, "Caller-Service")),
                 request.target, request.body};
   m_runs.push_back(run);
   if (request.target.starts_with("/lost/")) return m_server.Abort(connection);
-  if (!request.target.starts_with("/slow/")) return Answer(connection, run);
-  QTimer::singleShot(kSlowTime, &m_server, [this, connection, run] { Answer(connection, run); });
+  if (!request.target.starts_with("/slow/")) return SendResponse(connection, run);
+  QTimer::singleShot(kSlowTime, &m_server,
+                     [this, connection, run] { SendResponse(connection, run); });
 }
 
-void StandInInstance::Answer(ConnectionId connection, const Run& run) {
-  m_server.Answer(connection, 200, m_id + " " + run.target + " " + run.body,
-                  {{"Request-Id", run.request_id},
-                   {"Response-Seal", "seal-" + run.request_id},
-                   {"Instance-Load", "1,0,9,100"}});
+void StandInInstance::SendResponse(ConnectionId connection, const Run& run) {
+  m_server.SendResponse(connection, 200, m_id + " " + run.target + " " + run.body,
+                        {{"Request-Id", run.request_id},
+                         {"Response-Seal", "seal-" + run.request_id},
+                         {"Instance-Load", "1,0,9,100"}});
 }
 
 PlatformFleet::PlatformFleet() : m_peer_port(FreeEndpoint().port) {
@@ -66,7 +67,7 @@
   }
 }
 
-std::string PlatformFleet::SettingsOf(const Server& server) const {
+std::string PlatformFleet::SettingsJson(const Server& server) const {
   const std::string store = ToString(m_store.Address());
   return R"({"product":{"DAMASKHOLLOW_SERVER_ID":")" + server.ip +
          R"(","DAMASKHOLLOW_REGION":"west","DAMASKHOLLOW_DATA_CENTRE":"west-1",)" +
@@ -81,9 +82,10 @@
 }
 
 void PlatformFleet::PutConfiguration(int version, std::string_view more_routes) {
-  const auto route = [](std::string_view name, std::string_view prefix, std::string_view kind) {
+  const auto route = [](std::string_view name, std::string_view prefix,
+                        std::string_view route_type) {
     return R"({"name":")" + std::string(name) + R"(","hostname":"shop.test","prefix":")" +
-           std::string(prefix) + R"(","routeType":")" + std::string(kind) +
+           std::string(prefix) + R"(","routeType":")" + std::string(route_type) +
            R"(","service":"portal","timeout":"3s","slo":"600ms","priority":1,"attempts":2})";
   };
   m_store.Put("op/config", R"({"configVersion":)" + std::to_string(version) + R"(,"routes":[)" +
@@ -105,7 +107,7 @@
 
 void PlatformFleet::StartNode(std::size_t index) {
   const std::string path = m_folder.filePath(QString("settings-%1.json").arg(index)).toStdString();
-  std::ofstream(path) << SettingsOf(m_servers[index]);
+  std::ofstream(path) << SettingsJson(m_servers[index]);
   qputenv("DAMASKHOLLOW_CONFIG", QByteArray::fromStdString(path));
   Node(index).Start();
 }
@@ -126,8 +128,8 @@
   });
 }
 
-HttpRequest PlatformFleet::RequestOf(std::string_view method, std::string_view target,
-                                     std::string body) {
+HttpRequest PlatformFleet::MakeOutboundRequest(std::string_view method, std::string_view target,
+                                               std::string body) {
   return MakeRequest(method, target,
                      {{"Host", "shop.test"},
                       {"Request-Id", "r-" + std::to_string(m_next_request++)},
@@ -136,16 +138,16 @@
                      std::move(body));
 }
 
-HttpAnswer PlatformFleet::Call(std::size_t index, std::string_view method, std::string_view target,
-                               std::string body) {
-  return m_client.Fetch(m_servers[index].outbound, RequestOf(method, target, std::move(body)),
-                        kCallTimeout);
+HttpResponse PlatformFleet::Call(std::size_t index, std::string_view method,
+                                 std::string_view target, std::string body) {
+  return m_client.Fetch(m_servers[index].outbound,
+                        MakeOutboundRequest(method, target, std::move(body)), kCallTimeout);
 }
 
 ConnectionId PlatformFleet::Send(std::size_t index, std::string_view method,
                                  std::string_view target, HttpClient::Done done) {
-  return m_client.Send(m_servers[index].outbound, RequestOf(method, target, {}), kCallTimeout,
-                       std::move(done));
+  return m_client.Send(m_servers[index].outbound, MakeOutboundRequest(method, target, {}),
+                       kCallTimeout, std::move(done));
 }
 
 int PlatformFleet::ReadyStatus(std::size_t index) {
--- a/tests/support/platformfleet.h
+++ b/tests/support/platformfleet.h
@@ -36,7 +36,7 @@
 
  private:
   void Handle(ConnectionId connection, const HttpRequest& request);
-  void Answer(ConnectionId connection, const Run& run);
+  void SendResponse(ConnectionId connection, const Run& run);
 
   const std::string m_id;
   const Endpoint m_address;
@@ -62,8 +62,8 @@
   bool WaitUntilServing(std::size_t index);
 
   // Sends a request with the host "shop.test" to a node's outbound address.
-  HttpAnswer Call(std::size_t index, std::string_view method, std::string_view target,
-                  std::string body = {});
+  HttpResponse Call(std::size_t index, std::string_view method, std::string_view target,
+                    std::string body = {});
   ConnectionId Send(std::size_t index, std::string_view method, std::string_view target,
                     HttpClient::Done done);
   int ReadyStatus(std::size_t index);
@@ -84,8 +84,9 @@
     std::unique_ptr<Process> node;
   };
 
-  HttpRequest RequestOf(std::string_view method, std::string_view target, std::string body);
-  std::string SettingsOf(const Server& server) const;
+  HttpRequest MakeOutboundRequest(std::string_view method, std::string_view target,
+                                  std::string body);
+  std::string SettingsJson(const Server& server) const;
 
   QTemporaryDir m_folder;
   HttpClient m_client;
--- a/tests/support/process.cpp
+++ b/tests/support/process.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kKillLimit{10000};
-constexpr int kStartLimitMs = 10000;
+constexpr std::chrono::milliseconds kKillTimeout{10000};
+constexpr int kStartTimeoutMs = 10000;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   QStringList arguments;
   for (const std::string& argument : m_arguments) arguments << QString::fromStdString(argument);
   m_process.start(QString::fromStdString(m_program), arguments);
-  m_process.waitForStarted(kStartLimitMs);
+  m_process.waitForStarted(kStartTimeoutMs);
 }
 
 void Process::Signal(int signal) {
@@ -43,7 +43,7 @@
 
 void Process::Kill() {
   Signal(SIGKILL);
-  m_process.waitForFinished(static_cast<int>(kKillLimit.count()));
+  m_process.waitForFinished(static_cast<int>(kKillTimeout.count()));
 }
 
 bool Process::WaitForExit(std::chrono::milliseconds limit) {
--- a/tests/support/queryoptions.cpp
+++ b/tests/support/queryoptions.cpp
@@ -4,12 +4,12 @@
 
 namespace damaskhollow::test {
 
-QueryOptions QueryOptions::OfTarget(std::string_view target) {
+QueryOptions QueryOptions::FromTarget(std::string_view target) {
   const std::size_t mark = target.find('?');
-  return mark == std::string_view::npos ? QueryOptions() : OfText(target.substr(mark + 1));
+  return mark == std::string_view::npos ? QueryOptions() : FromQueryString(target.substr(mark + 1));
 }
 
-QueryOptions QueryOptions::OfText(std::string_view text) {
+QueryOptions QueryOptions::FromQueryString(std::string_view text) {
   QueryOptions options;
   const QUrlQuery query(QString::fromUtf8(text.data(), static_cast<qsizetype>(text.size())));
   const auto items = query.queryItems(QUrl::FullyDecoded);
@@ -30,10 +30,10 @@
   return found == m_values.end() ? std::string() : found->second;
 }
 
-double QueryOptions::Number(std::string_view name, double missing) const {
+double QueryOptions::Number(std::string_view name, double default_value) const {
   bool is_number = false;
   const double number = QString::fromStdString(Text(name)).toDouble(&is_number);
-  return is_number ? number : missing;
+  return is_number ? number : default_value;
 }
 
 std::string_view PathOf(std::string_view target) { return target.substr(0, target.find('?')); }
--- a/tests/support/queryoptions.h
+++ b/tests/support/queryoptions.h
@@ -13,10 +13,10 @@
   QueryOptions() = default;
 
   // Reads the part of a request target after the question mark.
-  static QueryOptions OfTarget(std::string_view target);
+  static QueryOptions FromTarget(std::string_view target);
 
   // Reads "ms=50&bytes=10".
-  static QueryOptions OfText(std::string_view text);
+  static QueryOptions FromQueryString(std::string_view text);
 
   // Adds the options of `other` that are not given here.
   void AddMissing(const QueryOptions& other);
@@ -25,7 +25,7 @@
   std::string Text(std::string_view name) const;
 
   // The number, or `missing` if the option is not given or no number.
-  double Number(std::string_view name, double missing) const;
+  double Number(std::string_view name, double default_value) const;
 
   // Whether the option is a number above zero.
   bool IsOn(std::string_view name) const { return Number(name, 0.0) > 0.0; }
--- a/tests/support/scriptedserver.cpp
+++ b/tests/support/scriptedserver.cpp
@@ -21,20 +21,20 @@
 constexpr std::size_t kCreditBytes = 65536;
 
 // Collects what became of one request.
-class Collector : public BackendEvents {
+class ResponseCollector : public BackendEvents {
  public:
   void OnBackendPart(ConnectionId, AnswerPart part, bool) override {
-    if (part.head) m_answer.status = part.head->status;
-    m_answer.body += part.data;
-    m_answer.complete = part.last;
+    if (part.head) m_response.status = part.head->status;
+    m_response.body += part.data;
+    m_response.complete = part.last;
   }
-  void OnBackendFailed(ConnectionId, Reason reason, bool) override { m_answer.failure = reason; }
+  void OnBackendFailed(ConnectionId, Reason reason, bool) override { m_response.failure = reason; }
   void OnBackendIdleClosed(ConnectionId) override {}
 
-  const CollectedAnswer& Answer() const { return m_answer; }
+  const CollectedResponse& Response() const { return m_response; }
 
  private:
-  CollectedAnswer m_answer;
+  CollectedResponse m_response;
 };
 
 }  // namespace
@@ -64,16 +64,16 @@
   if (m_end == End::kKeepOpen) return;
   QTimer::singleShot(kEndDelay, &socket, [this, &socket] {
     if (m_end == End::kReset) {
-      const linger at_once{1, 0};
-      ::setsockopt(static_cast<int>(socket.socketDescriptor()), SOL_SOCKET, SO_LINGER, &at_once,
-                   sizeof(at_once));
+      const linger reset_on_close{1, 0};
+      ::setsockopt(static_cast<int>(socket.socketDescriptor()), SOL_SOCKET, SO_LINGER,
+                   &reset_on_close, sizeof(reset_on_close));
     }
     socket.abort();
   });
 }
 
-CollectedAnswer FetchFrom(const ScriptedServer& server) {
-  Collector collector;
+CollectedResponse FetchFrom(const ScriptedServer& server) {
+  ResponseCollector collector;
   BackendConnection connection(ConnectionId{1}, server.Address(), collector);
   HttpRequest request;
   request.method = "GET";
@@ -82,8 +82,8 @@
   connection.Send(request, kCreditBytes, kRequestTimeout,
                   AnswerCheck{"Request-Id", "mine", "Seal"});
   CPPUNIT_ASSERT(
-      WaitUntil([&] { return collector.Answer().complete || collector.Answer().failure; }));
-  return collector.Answer();
+      WaitUntil([&] { return collector.Response().complete || collector.Response().failure; }));
+  return collector.Response();
 }
 
 }  // namespace damaskhollow::test
--- a/tests/support/scriptedserver.h
+++ b/tests/support/scriptedserver.h
@@ -34,7 +34,7 @@
 };
 
 // What a backend connection made of the server's bytes.
-struct CollectedAnswer {
+struct CollectedResponse {
   bool complete = false;
   int status = 0;  // 0: no head was accepted.
   std::string body;
@@ -43,7 +43,7 @@
 
 // Sends one request with the id "mine", whose answer must repeat it in Request-Id and bear the
 // field Seal, and runs the event loop until the request has ended.
-CollectedAnswer FetchFrom(const ScriptedServer& server);
+CollectedResponse FetchFrom(const ScriptedServer& server);
 
 }  // namespace damaskhollow::test
 
--- a/tests/support/standin-backend/backendmodel.cpp
+++ b/tests/support/standin-backend/backendmodel.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kControlPrefix = "/control/";
 constexpr std::string_view kHealthPath = "/health";
-constexpr int kCrashStatus = 134;
+constexpr int kCrashExitStatus = 134;
 constexpr std::size_t kChunkBytes = 10000;
 
 std::string Compact(const QJsonObject& json) {
@@ -37,7 +37,7 @@
     : m_settings(settings),
       m_server([this](ConnectionId connection,
                       HttpRequest request) { HandleRequest(connection, std::move(request)); },
-               [this](ConnectionId connection) { HandleGone(connection); }),
+               [this](ConnectionId connection) { HandleConnectionClosed(connection); }),
       m_random(settings.seed) {
   m_since_start.start();
   if (!m_settings.run_log.empty()) ReadRunLog();
@@ -64,37 +64,38 @@
   if (path == kHealthPath) return HandleHealth(connection);
   if (m_fail_status != 0) {
     ++m_failed;
-    return m_server.Answer(connection, m_fail_status, "failing fast");
+    return m_server.SendResponse(connection, m_fail_status, "failing fast");
   }
   if (m_running.size() >= m_settings.slots && m_queue.size() >= m_settings.queue_limit) {
     ++m_shed;
-    return m_server.Answer(connection, m_settings.shed_status, "shed");
+    return m_server.SendResponse(connection, m_settings.shed_status, "shed");
   }
   Work work;
   work.connection = connection;
   work.test_id = FindHeader(request.headers, "X-Test-Id");
   work.test_class = FindHeader(request.headers, "X-Test-Class");
-  work.options = QueryOptions::OfTarget(request.target);
-  work.options.AddMissing(QueryOptions::OfText(FindHeader(request.headers, "X-Test-Options")));
+  work.options = QueryOptions::FromTarget(request.target);
+  work.options.AddMissing(
+      QueryOptions::FromQueryString(FindHeader(request.headers, "X-Test-Options")));
   m_queue.push_back(std::move(work));
   StartNext();
 }
 
 void BackendModel::HandleHealth(ConnectionId connection) {
   const int status = m_drain_status_on ? m_settings.drain_status : 200;
-  m_server.Answer(connection, status, m_drain_status_on ? "draining" : "ok");
+  m_server.SendResponse(connection, status, m_drain_status_on ? "draining" : "ok");
 }
 
 void BackendModel::HandleControl(ConnectionId connection, const HttpRequest& request) {
   const std::string_view path = PathOf(request.target);
-  if (path == "/control/set") ApplyOptions(QueryOptions::OfTarget(request.target));
+  if (path == "/control/set") ApplyOptions(QueryOptions::FromTarget(request.target));
   const bool is_known = path == "/control/set" || path == "/control/runs";
-  m_server.Answer(connection, is_known ? 200 : 404, is_known ? Compact(RunsJson()) : "",
-                  {{"Content-Type", "application/json"}});
+  m_server.SendResponse(connection, is_known ? 200 : 404, is_known ? Compact(RunsJson()) : "",
+                        {{"Content-Type", "application/json"}});
 }
 
 void BackendModel::ApplyOptions(const QueryOptions& options) {
-  m_slow = options.Number("slow", m_slow);
+  m_slowdown = options.Number("slow", m_slowdown);
   m_settings.service_ms = options.Number("service_ms", m_settings.service_ms);
   m_settings.slots =
       static_cast<std::size_t>(options.Number("slots", static_cast<double>(m_settings.slots)));
@@ -108,7 +109,7 @@
   if (options.Has("drain_header")) m_drain_header_on = options.IsOn("drain_header");
   if (options.Has("hold")) m_hold = options.IsOn("hold");
   if (options.IsOn("cold")) m_since_start.restart();
-  if (options.IsOn("crash")) std::_Exit(kCrashStatus);
+  if (options.IsOn("crash")) std::_Exit(kCrashExitStatus);
   while (!m_hold && !m_held.empty()) {
     const ConnectionId connection = m_held.front();
     m_held.pop_front();
@@ -122,11 +123,11 @@
   if (m_settings.distribution == "exponential" && planned_ms > 0.0) {
     planned_ms = std::exponential_distribution<double>(1.0 / planned_ms)(m_random);
   }
-  planned_ms = options.Number("ms", planned_ms) * m_slow;
+  planned_ms = options.Number("ms", planned_ms) * m_slowdown;
   const double age_ms = static_cast<double>(m_since_start.elapsed());
   if (age_ms >= m_settings.cold_ms) return planned_ms;
-  const double part_left = 1.0 - age_ms / m_settings.cold_ms;
-  return planned_ms * (1.0 + (m_settings.cold_factor - 1.0) * part_left);
+  const double remaining_share = 1.0 - age_ms / m_settings.cold_ms;
+  return planned_ms * (1.0 + (m_settings.cold_factor - 1.0) * remaining_share);
 }
 
 void BackendModel::StartNext() {
@@ -144,7 +145,7 @@
   if (!work.test_class.empty()) ++m_by_class[work.test_class].ran;
   ++m_total.ran;
   LogRun('r', work.test_id);
-  if (work.options.IsOn("crash")) std::_Exit(kCrashStatus);
+  if (work.options.IsOn("crash")) std::_Exit(kCrashExitStatus);
   if (work.options.IsOn("abort")) return m_server.Abort(connection);
   const auto planned = std::chrono::milliseconds(std::lround(work.planned_ms));
   m_running.emplace(connection, std::move(work));
@@ -158,31 +159,32 @@
   if (m_hold) return m_held.push_back(connection);
   const Work work = std::move(found->second);
   m_running.erase(found);
-  const auto note = [&work](Counts& counts) {
+  const auto record_completion = [&work](Counts& counts) {
     ++counts.completed;
     counts.busy_ms += work.planned_ms;
   };
-  if (!work.test_id.empty()) note(m_by_id[work.test_id]);
-  if (!work.test_class.empty()) note(m_by_class[work.test_class]);
-  note(m_total);
+  if (!work.test_id.empty()) record_completion(m_by_id[work.test_id]);
+  if (!work.test_class.empty()) record_completion(m_by_class[work.test_class]);
+  record_completion(m_total);
   LogRun('c', work.test_id);
-  SendAnswer(work);
+  RespondTo(work);
   StartNext();
 }
 
-void BackendModel::SendAnswer(const Work& work) {
+void BackendModel::RespondTo(const Work& work) {
   const auto bytes = static_cast<std::size_t>(work.options.Number("bytes", 0.0));
   const std::string body = PatternBody(work.test_id, bytes);
   const int status = static_cast<int>(work.options.Number("status", 200.0));
   std::vector<HttpHeader> headers{{"X-Test-Id", work.test_id}};
   if (m_drain_header_on) headers.push_back({"Damaskhollow-Drain", "1"});
   if (work.options.IsOn("chunked")) {
-    return m_server.AnswerChunked(work.connection, status, body, kChunkBytes, std::move(headers));
+    return m_server.SendChunkedResponse(work.connection, status, body, kChunkBytes,
+                                        std::move(headers));
   }
-  m_server.Answer(work.connection, status, body, std::move(headers));
+  m_server.SendResponse(work.connection, status, body, std::move(headers));
 }
 
-void BackendModel::HandleGone(ConnectionId connection) {
+void BackendModel::HandleConnectionClosed(ConnectionId connection) {
   std::erase_if(m_queue, [&](const Work& work) { return work.connection == connection; });
   std::erase(m_held, connection);
   const auto found = m_running.find(connection);
--- a/tests/support/standin-backend/backendmodel.h
+++ b/tests/support/standin-backend/backendmodel.h
@@ -61,11 +61,11 @@
   void HandleRequest(ConnectionId connection, HttpRequest request);
   void HandleControl(ConnectionId connection, const HttpRequest& request);
   void HandleHealth(ConnectionId connection);
-  void HandleGone(ConnectionId connection);
+  void HandleConnectionClosed(ConnectionId connection);
   void StartNext();
   void Run(Work work);
   void Complete(ConnectionId connection);
-  void SendAnswer(const Work& work);
+  void RespondTo(const Work& work);
   void ApplyOptions(const QueryOptions& options);
   double PlannedMs(const QueryOptions& options);
   QJsonObject RunsJson() const;
@@ -85,7 +85,7 @@
   int m_shed = 0;
   int m_failed = 0;
   std::size_t m_peak_in_flight = 0;
-  double m_slow = 1.0;
+  double m_slowdown = 1.0;
   int m_fail_status = 0;  // 0: does not fail fast.
   bool m_drain_status_on = false;
   bool m_drain_header_on = false;
--- a/tests/support/standin-backend/main.cpp
+++ b/tests/support/standin-backend/main.cpp
@@ -9,7 +9,7 @@
 
 using damaskhollow::test::BackendSettings;
 
-BackendSettings SettingsOf(const QCommandLineParser& parser) {
+BackendSettings ParseSettings(const QCommandLineParser& parser) {
   BackendSettings settings;
   settings.slots = parser.value("slots").toULong();
   settings.queue_limit = parser.value("queue-limit").toULong();
@@ -47,7 +47,7 @@
   });
   parser.process(application);
   const auto endpoint = damaskhollow::ParseEndpoint(parser.value("listen").toStdString());
-  damaskhollow::test::BackendModel model(SettingsOf(parser));
+  damaskhollow::test::BackendModel model(ParseSettings(parser));
   if (!endpoint || !model.Listen(endpoint.value())) {
     std::cerr << "standin-backend: cannot listen on " << parser.value("listen").toStdString()
               << '\n';
--- a/tests/support/standin-platform/main.cpp
+++ b/tests/support/standin-platform/main.cpp
@@ -9,17 +9,17 @@
 // port 0 lets the system choose.
 int main(int argc, char** argv) {
   using damaskhollow::Endpoint;
-  constexpr int kUsageStatus = 2;
+  constexpr int kUsageExitStatus = 2;
   std::signal(SIGPIPE, SIG_IGN);
   QCoreApplication application(argc, argv);
   if (argc != 3 || std::string_view(argv[1]) != "--listen") {
     std::cerr << "usage: standin-platform --listen IP:PORT\n";
-    return kUsageStatus;
+    return kUsageExitStatus;
   }
   const damaskhollow::Result<Endpoint> endpoint = damaskhollow::ParseEndpoint(argv[2]);
   if (!endpoint) {
     std::cerr << damaskhollow::Describe(endpoint.error()) << '\n';
-    return kUsageStatus;
+    return kUsageExitStatus;
   }
   damaskhollow::test::Platform platform;
   if (!platform.Open(endpoint.value())) {
--- a/tests/support/standin-platform/platform.cpp
+++ b/tests/support/standin-platform/platform.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 Platform::Platform() : m_budget(kBodyBudgetBytes) {
-  m_current[static_cast<std::size_t>(Resource::kVms)].body = R"({"version": 0, "vms": []})";
+  m_current_values[static_cast<std::size_t>(Resource::kVms)].body = R"({"version": 0, "vms": []})";
 }
 
 bool Platform::Open(const Endpoint& endpoint) {
@@ -48,15 +48,17 @@
   if (path.startsWith("/control/")) return Control(connection, request, url);
   if (path == "/v1/configuration") return Read(connection, Resource::kConfiguration, url);
   if (path == "/v1/vms") return Read(connection, Resource::kVms, url);
-  Answer(connection, 404, "");
+  SendResponse(connection, 404, "");
 }
 
-void Platform::OnBadRequest(ExchangeId exchange, Reason) { Answer(exchange.connection, 400, ""); }
+void Platform::OnBadRequest(ExchangeId exchange, Reason) {
+  SendResponse(exchange.connection, 400, "");
+}
 
 void Platform::OnBodySent(ExchangeId, std::size_t) {}
 
 void Platform::OnCallerGone(ConnectionId connection) {
-  std::erase_if(m_waiting,
+  std::erase_if(m_pending_reads,
                 [&](const auto& entry) { return entry.second.connection == connection; });
   auto found = m_connections.extract(connection);
   if (!found.empty()) found.mapped().release()->deleteLater();
@@ -65,30 +67,30 @@
 void Platform::Read(ConnectionId connection, Resource resource, const QUrl& url) {
   if (resource == Resource::kConfiguration) ++m_reads;
   if (m_is_down) return m_connections.at(connection)->Abort();
-  if (!QUrlQuery(url).hasQueryItem("after")) return AnswerValue(connection, resource);
+  if (!QUrlQuery(url).hasQueryItem("after")) return SendValue(connection, resource);
   const std::uint64_t after = Number(url, "after");
-  if (Served(resource).version > after) return AnswerValue(connection, resource);
-  const std::uint64_t wait = ++m_last_wait;
-  m_waiting[wait] = WaitingRead{connection, resource, after};
+  if (Served(resource).version > after) return SendValue(connection, resource);
+  const std::uint64_t read_id = ++m_last_read_id;
+  m_pending_reads[read_id] = PendingRead{connection, resource, after};
   QTimer::singleShot(static_cast<int>(Number(url, "wait_ms")), this,
-                     [this, wait] { EndWait(wait); });
+                     [this, read_id] { OnReadWaitExpired(read_id); });
 }
 
-void Platform::EndWait(std::uint64_t wait) {
-  const auto ended = m_waiting.extract(wait);
+void Platform::OnReadWaitExpired(std::uint64_t read_id) {
+  const auto ended = m_pending_reads.extract(read_id);
   if (ended.empty()) return;
-  AnswerNotModified(ended.mapped().connection, ended.mapped().resource);
+  SendNotModified(ended.mapped().connection, ended.mapped().resource);
 }
 
-void Platform::AnswerWaitingReads() {
-  std::vector<WaitingRead> due;
-  std::erase_if(m_waiting, [&](const auto& entry) {
-    const WaitingRead& read = entry.second;
+void Platform::CompletePendingReads() {
+  std::vector<PendingRead> due;
+  std::erase_if(m_pending_reads, [&](const auto& entry) {
+    const PendingRead& read = entry.second;
     if (Served(read.resource).version <= read.after) return false;
     due.push_back(read);
     return true;
   });
-  for (const WaitingRead& read : due) AnswerValue(read.connection, read.resource);
+  for (const PendingRead& read : due) SendValue(read.connection, read.resource);
 }
 
 void Platform::Control(ConnectionId connection, const HttpRequest& request, const QUrl& url) {
@@ -96,50 +98,50 @@
   if (path == "/control/configuration") return PutConfiguration(connection, request);
   if (path == "/control/vms") return PutVms(connection, request);
   if (path == "/control/reads") {
-    return Answer(connection, 200, "{\"reads\": " + std::to_string(m_reads) + "}");
+    return SendResponse(connection, 200, "{\"reads\": " + std::to_string(m_reads) + "}");
   }
   if (path == "/control/down") {
     SetDown(IsOn(url));
   } else if (path == "/control/frozen") {
     SetFrozen(IsOn(url));
   } else {
-    return Answer(connection, 404, "");
+    return SendResponse(connection, 404, "");
   }
-  Answer(connection, 200, "");
+  SendResponse(connection, 200, "");
 }
 
 void Platform::PutConfiguration(ConnectionId connection, const HttpRequest& request) {
   const std::string version(FindHeader(request.headers, kVersionHeader));
-  Value& value = m_current[static_cast<std::size_t>(Resource::kConfiguration)];
+  Value& value = m_current_values[static_cast<std::size_t>(Resource::kConfiguration)];
   value = Value{QByteArray::fromStdString(version).toULongLong(), request.body};
-  Answer(connection, 200, "");
-  AnswerWaitingReads();
+  SendResponse(connection, 200, "");
+  CompletePendingReads();
 }
 
 void Platform::PutVms(ConnectionId connection, const HttpRequest& request) {
   const QJsonObject json =
       QJsonDocument::fromJson(QByteArray::fromStdString(request.body)).object();
-  if (!json.contains("version")) return Answer(connection, 400, "");
+  if (!json.contains("version")) return SendResponse(connection, 400, "");
   const auto version = static_cast<std::uint64_t>(json.value("version").toInteger());
-  m_current[static_cast<std::size_t>(Resource::kVms)] = Value{version, request.body};
-  Answer(connection, 200, "");
-  AnswerWaitingReads();
+  m_current_values[static_cast<std::size_t>(Resource::kVms)] = Value{version, request.body};
+  SendResponse(connection, 200, "");
+  CompletePendingReads();
 }
 
 void Platform::SetDown(bool is_down) {
   m_is_down = is_down;
   if (!is_down) return;
-  const std::map<std::uint64_t, WaitingRead> cut = std::exchange(m_waiting, {});
-  for (const auto& [wait, read] : cut) m_connections.at(read.connection)->Abort();
+  const std::map<std::uint64_t, PendingRead> cut = std::exchange(m_pending_reads, {});
+  for (const auto& [read_id, read] : cut) m_connections.at(read.connection)->Abort();
 }
 
 void Platform::SetFrozen(bool is_frozen) {
-  if (!m_is_frozen) m_at_freeze = m_current;
+  if (!m_is_frozen) m_frozen_values = m_current_values;
   m_is_frozen = is_frozen;
-  AnswerWaitingReads();
+  CompletePendingReads();
 }
 
-void Platform::AnswerValue(ConnectionId connection, Resource resource) {
+void Platform::SendValue(ConnectionId connection, Resource resource) {
   const Value& value = Served(resource);
   HttpResponseHead head;
   head.status = 200;
@@ -152,7 +154,7 @@
   caller.FinishAnswer(number);
 }
 
-void Platform::AnswerNotModified(ConnectionId connection, Resource resource) {
+void Platform::SendNotModified(ConnectionId connection, Resource resource) {
   HttpResponseHead head;
   head.status = 304;
   head.headers.push_back({std::string(kVersionHeader), std::to_string(Served(resource).version)});
@@ -162,7 +164,7 @@
   caller.FinishAnswer(number);
 }
 
-void Platform::Answer(ConnectionId connection, int status, std::string_view body) {
+void Platform::SendResponse(ConnectionId connection, int status, std::string_view body) {
   HttpResponseHead head;
   head.status = status;
   head.content_length = body.size();
@@ -174,7 +176,7 @@
 }
 
 const Platform::Value& Platform::Served(Resource resource) const {
-  const Values& values = m_is_frozen ? m_at_freeze : m_current;
+  const Values& values = m_is_frozen ? m_frozen_values : m_current_values;
   return values[static_cast<std::size_t>(resource)];
 }
 
--- a/tests/support/standin-platform/platform.h
+++ b/tests/support/standin-platform/platform.h
@@ -35,7 +35,7 @@
   using Values = std::array<Value, 2>;  // Indexed by Resource.
 
   // A read that is answered when a newer version comes or its wait ends.
-  struct WaitingRead {
+  struct PendingRead {
     ConnectionId connection;
     Resource resource = Resource::kConfiguration;
     std::uint64_t after = 0;
@@ -51,25 +51,25 @@
   void OnCallerGone(ConnectionId connection) override;
 
   void Read(ConnectionId connection, Resource resource, const QUrl& url);
-  void EndWait(std::uint64_t wait);
-  void AnswerWaitingReads();
+  void OnReadWaitExpired(std::uint64_t read_id);
+  void CompletePendingReads();
   void Control(ConnectionId connection, const HttpRequest& request, const QUrl& url);
   void PutConfiguration(ConnectionId connection, const HttpRequest& request);
   void PutVms(ConnectionId connection, const HttpRequest& request);
   void SetDown(bool is_down);
   void SetFrozen(bool is_frozen);
-  void AnswerValue(ConnectionId connection, Resource resource);
-  void AnswerNotModified(ConnectionId connection, Resource resource);
-  void Answer(ConnectionId connection, int status, std::string_view body);
+  void SendValue(ConnectionId connection, Resource resource);
+  void SendNotModified(ConnectionId connection, Resource resource);
+  void SendResponse(ConnectionId connection, int status, std::string_view body);
   const Value& Served(Resource resource) const;
 
   std::map<ConnectionId, std::unique_ptr<CallerConnection>> m_connections;
-  std::map<std::uint64_t, WaitingRead> m_waiting;
+  std::map<std::uint64_t, PendingRead> m_pending_reads;
   std::uint64_t m_last_connection = 0;
-  std::uint64_t m_last_wait = 0;
+  std::uint64_t m_last_read_id = 0;
   std::uint64_t m_reads = 0;
-  Values m_current;
-  Values m_at_freeze;
+  Values m_current_values;
+  Values m_frozen_values;
   bool m_is_down = false;
   bool m_is_frozen = false;
   BodyBudget m_budget;
--- a/tests/support/standinstore.cpp
+++ b/tests/support/standinstore.cpp
@@ -38,27 +38,28 @@
   item.revision = ++m_revision;
   if (item.created == 0) item.created = m_revision;
   m_changes.push_back({m_revision, key});
-  AnswerWaiting();
+  CompletePendingWatches();
 }
 
 void StandInStore::Delete(const std::string& key) {
   m_items.erase(key);
   m_changes.push_back({++m_revision, key});
-  AnswerWaiting();
+  CompletePendingWatches();
 }
 
-void StandInStore::DropHistory() {
-  m_history_from = ++m_revision;
+void StandInStore::CompactHistory() {
+  m_compacted_revision = ++m_revision;
   m_changes.clear();
-  for (const Waiting& watch : std::exchange(m_waiting, {})) m_server.Abort(watch.connection);
+  for (const PendingWatch& watch : std::exchange(m_pending_watches, {}))
+    m_server.Abort(watch.connection);
 }
 
 void StandInStore::Handle(ConnectionId connection, const HttpRequest& request) {
   switch (m_mode) {
     case Mode::kBusy:
-      return m_server.Answer(connection, kUnavailable, "");
+      return m_server.SendResponse(connection, kUnavailable, "");
     case Mode::kTooMany:
-      return m_server.Answer(connection, kTooManyRequests, "");
+      return m_server.SendResponse(connection, kTooManyRequests, "");
     case Mode::kAborting:
       return m_server.Abort(connection);
     case Mode::kSilent:
@@ -73,32 +74,32 @@
   };
   if (url.path() == "/v1/kv-range") {
     ++m_ranges;
-    return AnswerRange(connection, value("prefix"), value("after"));
+    return SendRange(connection, value("prefix"), value("after"));
   }
   ++m_watches;
-  const Waiting watch{connection, value("prefix"), std::stoull(value("after"))};
-  if (watch.after < m_history_from) return m_server.Answer(connection, kGone, "{}");
-  if (HasNews(watch)) return AnswerWatch(watch);
-  m_waiting.push_back(watch);
+  const PendingWatch watch{connection, value("prefix"), std::stoull(value("after"))};
+  if (watch.after < m_compacted_revision) return m_server.SendResponse(connection, kGone, "{}");
+  if (HasEvents(watch)) return SendWatchEvents(watch);
+  m_pending_watches.push_back(watch);
   QTimer::singleShot(std::stoi(value("waitMs")), &m_server, [this, connection] {
-    const auto found = std::find_if(m_waiting.begin(), m_waiting.end(), [&](const Waiting& entry) {
-      return entry.connection == connection;
-    });
-    if (found == m_waiting.end()) return;
-    const Waiting ended = *found;
-    m_waiting.erase(found);
-    AnswerWatch(ended);
+    const auto found =
+        std::find_if(m_pending_watches.begin(), m_pending_watches.end(),
+                     [&](const PendingWatch& entry) { return entry.connection == connection; });
+    if (found == m_pending_watches.end()) return;
+    const PendingWatch ended = *found;
+    m_pending_watches.erase(found);
+    SendWatchEvents(ended);
   });
 }
 
-std::string StandInStore::ItemText(const std::string& key, const Item& item) {
+std::string StandInStore::ItemJson(const std::string& key, const Item& item) {
   return "{\"key\":" + Quoted(key) + ",\"value\":" + Quoted(item.encoded) +
          ",\"revision\":" + std::to_string(item.revision) +
          ",\"created\":" + std::to_string(item.created) + ",\"lease\":0}";
 }
 
-void StandInStore::AnswerRange(ConnectionId connection, const std::string& prefix,
-                               const std::string& after) {
+void StandInStore::SendRange(ConnectionId connection, const std::string& prefix,
+                             const std::string& after) {
   std::string items;
   std::size_t count = 0;
   bool has_more = false;
@@ -106,21 +107,21 @@
     if (!key.starts_with(prefix) || key <= after) continue;
     has_more = count == m_page_size;
     if (has_more) break;
-    items += (items.empty() ? "" : ",") + ItemText(key, item);
+    items += (items.empty() ? "" : ",") + ItemJson(key, item);
     ++count;
   }
-  m_server.Answer(connection, kOk,
-                  "{\"items\":[" + items + "],\"hasMore\":" + (has_more ? "true" : "false") +
-                      ",\"currentRev\":" + std::to_string(m_revision) + "}");
+  m_server.SendResponse(connection, kOk,
+                        "{\"items\":[" + items + "],\"hasMore\":" + (has_more ? "true" : "false") +
+                            ",\"currentRev\":" + std::to_string(m_revision) + "}");
 }
 
-bool StandInStore::HasNews(const Waiting& watch) const {
+bool StandInStore::HasEvents(const PendingWatch& watch) const {
   return std::any_of(m_changes.begin(), m_changes.end(), [&](const Change& change) {
     return change.revision > watch.after && change.key.starts_with(watch.prefix);
   });
 }
 
-std::string StandInStore::EventsSince(const Waiting& watch) const {
+std::string StandInStore::EventsSince(const PendingWatch& watch) const {
   std::string events;
   for (const Change& change : m_changes) {
     if (change.revision <= watch.after || !change.key.starts_with(watch.prefix)) continue;
@@ -130,23 +131,23 @@
     events += is_deleted
                   ? "{\"key\":" + Quoted(change.key) +
                         ",\"revision\":" + std::to_string(change.revision) + ",\"deleted\":true}"
-                  : ItemText(change.key, item->second);
+                  : ItemJson(change.key, item->second);
   }
   return events;
 }
 
-void StandInStore::AnswerWatch(const Waiting& watch) {
-  m_server.Answer(watch.connection, kOk,
-                  "{\"events\":[" + EventsSince(watch) +
-                      "],\"currentRev\":" + std::to_string(m_revision) + "}");
+void StandInStore::SendWatchEvents(const PendingWatch& watch) {
+  m_server.SendResponse(watch.connection, kOk,
+                        "{\"events\":[" + EventsSince(watch) +
+                            "],\"currentRev\":" + std::to_string(m_revision) + "}");
 }
 
-void StandInStore::AnswerWaiting() {
-  for (const Waiting& watch : std::exchange(m_waiting, {})) {
-    if (HasNews(watch)) {
-      AnswerWatch(watch);
+void StandInStore::CompletePendingWatches() {
+  for (const PendingWatch& watch : std::exchange(m_pending_watches, {})) {
+    if (HasEvents(watch)) {
+      SendWatchEvents(watch);
     } else {
-      m_waiting.push_back(watch);
+      m_pending_watches.push_back(watch);
     }
   }
 }
--- a/tests/support/standinstore.h
+++ b/tests/support/standinstore.h
@@ -28,7 +28,7 @@
   void PutEncoded(const std::string& key, const std::string& encoded);
   void Delete(const std::string& key);
   // Forgets which items changed when; watches from before get 410.
-  void DropHistory();
+  void CompactHistory();
 
   std::size_t Ranges() const { return m_ranges; }
   std::size_t Watches() const { return m_watches; }
@@ -43,29 +43,29 @@
     std::uint64_t revision = 0;
     std::string key;
   };
-  struct Waiting {
+  struct PendingWatch {
     ConnectionId connection;
     std::string prefix;
     std::uint64_t after = 0;
   };
 
   void Handle(ConnectionId connection, const HttpRequest& request);
-  void AnswerRange(ConnectionId connection, const std::string& prefix, const std::string& after);
-  void AnswerWatch(const Waiting& watch);
-  bool HasNews(const Waiting& watch) const;
-  void AnswerWaiting();
-  std::string EventsSince(const Waiting& watch) const;
-  static std::string ItemText(const std::string& key, const Item& item);
+  void SendRange(ConnectionId connection, const std::string& prefix, const std::string& after);
+  void SendWatchEvents(const PendingWatch& watch);
+  bool HasEvents(const PendingWatch& watch) const;
+  void CompletePendingWatches();
+  std::string EventsSince(const PendingWatch& watch) const;
+  static std::string ItemJson(const std::string& key, const Item& item);
 
   HttpServer m_server;
   Endpoint m_address;
   Mode m_mode = Mode::kServing;
   std::size_t m_page_size = 500;
   std::uint64_t m_revision = 100;
-  std::uint64_t m_history_from = 0;
+  std::uint64_t m_compacted_revision = 0;
   std::map<std::string, Item> m_items;
   std::vector<Change> m_changes;
-  std::vector<Waiting> m_waiting;
+  std::vector<PendingWatch> m_pending_watches;
   std::size_t m_ranges = 0;
   std::size_t m_watches = 0;
 };
--- a/tests/support/testmain.cpp
+++ b/tests/support/testmain.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-void CollectLeaves(CppUnit::Test& test, std::vector<CppUnit::Test*>& leaves) {
+void CollectTestCases(CppUnit::Test& test, std::vector<CppUnit::Test*>& test_cases) {
   if (test.getChildTestCount() == 0) {
-    if (test.countTestCases() > 0) leaves.push_back(&test);
+    if (test.countTestCases() > 0) test_cases.push_back(&test);
     return;
   }
   for (int index = 0; index < test.getChildTestCount(); ++index) {
-    CollectLeaves(*test.getChildTestAt(index), leaves);
+    CollectTestCases(*test.getChildTestAt(index), test_cases);
   }
 }
 
@@ -58,7 +58,7 @@
   const std::set<std::string> known_red = KnownRedTests();
   CppUnit::Test* suite = CppUnit::TestFactoryRegistry::getRegistry().makeTest();
   std::vector<CppUnit::Test*> tests;
-  CollectLeaves(*suite, tests);
+  CollectTestCases(*suite, tests);
 
   CppUnit::TestResult result;
   CppUnit::TestResultCollector collector;
