--- a/tests/support/callledger.h
+++ b/tests/support/callledger.h
@@ -13,25 +13,26 @@
 
 namespace damaskhollow::test {
 
-// Sends calls with ids of their own through random nodes while faults are at work, and checks
-// afterwards that what each caller was told is true.
+// Sends calls with unique ids through random nodes while a test injects faults, and afterwards
+// checks the outcome that each caller received against the run logs of the backend servers.
 class CallLedger : public QObject {
  public:
-  // Sends through the nodes in `ingresses`, `rate_per_second` calls in all.
+  // Starts to send through the nodes in `ingresses`; `rate_per_second` is the total over all nodes.
   CallLedger(Fleet& fleet, std::vector<std::size_t> ingresses, double rate_per_second,
              std::uint64_t seed);
 
-  // Sends no more calls and waits until all have ended; false if they do not.
+  // Stops sending and waits until all calls have ended. Returns false on a timeout.
   bool Finish();
 
-  // Asserts for each call: one that is not idempotent ran at most once; one that was answered ran
-  // and its answer is its own and whole; one that was called not-run did not run.
+  // Asserts for each call: a call that is not idempotent ran at most once; a call with the outcome
+  // "answered" completed and its response body is complete and belongs to this call; a call with
+  // the outcome "not-run", or whose connection was refused, did not run. Call after Finish().
   void CheckAll();
 
   std::size_t Sent() const { return m_calls.size(); }
   std::size_t Answered() const;
 
-  // One line with the count of each outcome.
+  // Returns one line with the number of calls for each outcome and reason.
   std::string Summary() const;
 
  private:
@@ -50,7 +51,7 @@
   std::vector<std::size_t> m_ingresses;
   RandomSource m_random;
   std::vector<Call> m_calls;
-  std::vector<QJsonObject> m_runs;  // By backend server, read once the calls have ended.
+  std::vector<QJsonObject> m_runs;  // One per backend server, read by CheckAll().
   std::size_t m_ended = 0;
   QTimer m_timer;
 };
--- a/tests/support/faultproxy/main.cpp
+++ b/tests/support/faultproxy/main.cpp
@@ -29,12 +29,12 @@
   QCoreApplication application(argc, argv);
   QCommandLineParser parser;
   parser.setApplicationDescription(
-      "TCP proxy with faults. Give --listen and --target once for each pair.");
+      "Fault-injecting TCP proxy. Specify --listen and --target once for each pair.");
   parser.addHelpOption();
   parser.addOptions({
       {"listen", "Address to accept connections on.", "IP:PORT"},
       {"target", "Address to forward them to.", "IP:PORT"},
-      {"control", "Address for control over HTTP.", "IP:PORT"},
+      {"control", "Address of the HTTP control interface.", "IP:PORT"},
   });
   parser.process(application);
   damaskhollow::test::ProxyControl control;
--- a/tests/support/faultproxy/proxycontrol.h
+++ b/tests/support/faultproxy/proxycontrol.h
@@ -10,15 +10,17 @@
 
 namespace damaskhollow::test {
 
-// All pairs of a proxy process and the control over them. POST /control/set?pair=N&... sets the
-// faults of a pair, numbered from 0, or of all; `group=G` puts it on a shared link, `flip=1` swaps
-// the directions there. POST /control/group?group=G&bits_per_second=N limits a shared link each
-// way. GET /control/statistics answers a JSON array with the counts of each pair.
+// Owns all pairs of a proxy process and serves the HTTP interface that controls them.
+// POST /control/set?pair=N&... sets the faults of pair N, counted from 0; without `pair`, or with
+// `pair=all`, of all pairs. `group=G` assigns the pair to a shared link, and `flip=1` swaps the
+// pair's directions on it. POST /control/group?group=G&bits_per_second=N limits the bandwidth of a
+// shared link in each direction. GET /control/statistics returns a JSON array with the statistics
+// of each pair.
 class ProxyControl {
  public:
   ProxyControl();
 
-  // False if the address cannot be used.
+  // Return false if the proxy cannot listen on the address.
   bool AddPair(const Endpoint& listen, const Endpoint& target);
   bool Listen(const Endpoint& control) { return m_server.Listen(control); }
 
--- a/tests/support/faultproxy/proxypair.cpp
+++ b/tests/support/faultproxy/proxypair.cpp
@@ -57,7 +57,7 @@
       if (found->second.server->state() == QAbstractSocket::UnconnectedState) OnClosed(id, false);
     });
     connect(connection.server.get(), &QTcpSocket::connected, this, [this, id] {
-      // Options set before the connection was made do not stick.
+      // Socket options set before the connection is established have no effect.
       m_connections.at(id).server->setSocketOption(QAbstractSocket::LowDelayOption, 1);
     });
     if (m_blackhole) {
@@ -78,7 +78,7 @@
   const bool server_open = connection.server->state() == QAbstractSocket::ConnectedState ||
                            connection.server->state() == QAbstractSocket::ConnectingState;
   if (connection.silent) {
-    // The other end must not learn of the close.
+    // The close is not forwarded to the other end, like all else on a silent connection.
     if (!client_open && !server_open) Remove(id);
     return;
   }
@@ -94,7 +94,7 @@
   m_connections.erase(found);
   connection.client->disconnect(this);
   connection.server->disconnect(this);
-  // One of these may be the sender of the present event.
+  // One of these may be the source of the current event.
   connection.up.release()->deleteLater();
   connection.down.release()->deleteLater();
   connection.client->abort();
--- a/tests/support/faultproxy/proxypair.h
+++ b/tests/support/faultproxy/proxypair.h
@@ -14,23 +14,25 @@
 
 namespace damaskhollow::test {
 
-// Forwards the connections of one listening address to one target, with faults.
+// Forwards the connections of one listening address to one target and injects faults.
 class ProxyPair : public QObject {
  public:
   ProxyPair(Endpoint listen, Endpoint target);
   ~ProxyPair() override;
 
-  // False if the address cannot be used.
+  // Returns false if the pair cannot listen on its address.
   bool Listen();
 
-  // Sets the links that the bytes to and from the target pass; null for none.
+  // Sets the shared links for bytes to the target (`up`) and from it (`down`); null for none.
   void SetLinks(SharedLink* up, SharedLink* down);
 
-  // Applies `delay_ms`, `freeze` and `hold` (up, down, both or none), `silence` (present
-  // connections), `blackhole` (also new ones) and `cut` (refuse and close).
+  // Applies the options that are set: `delay_ms` delays bytes; `freeze` and `hold` (up, down, both
+  // or none) stop reading or delivery in a direction; `silence` discards all bytes of existing
+  // connections, and `blackhole` also those of new ones; `cut` closes all connections and refuses
+  // new ones.
   void ApplyOptions(const QueryOptions& options);
 
-  // Bytes passed on each way, connections accepted so far and open now.
+  // Returns the bytes forwarded in each direction and the numbers of accepted and open connections.
   QJsonObject Statistics() const;
 
  private:
--- a/tests/support/faultproxy/relay.cpp
+++ b/tests/support/faultproxy/relay.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr qint64 kReadBytes = 64LL * 1024LL;
-// Bytes under way on a link; more stay with the sender.
+// Maximum number of bytes in transit per connection and direction; further bytes are not read from
+// the sender.
 constexpr std::size_t kMaxBufferedBytes = 512UL * 1024UL;
 constexpr std::size_t kMaxHeldBytes = 64UL * 1024UL * 1024UL;
 
--- a/tests/support/faultproxy/relay.h
+++ b/tests/support/faultproxy/relay.h
@@ -14,36 +14,38 @@
 
 using ProxyClock = std::chrono::steady_clock;
 
-// A link whose bandwidth several pairs share, in one direction.
+// One direction of a link whose bandwidth several pairs share.
 struct SharedLink {
   double bytes_per_second = 0.0;  // 0: no limit.
   ProxyClock::time_point busy_until{};
 
-  // When bytes that arrive now have passed the link.
+  // Reserves the link for bytes that arrive now. Returns the time at which they have been
+  // transmitted.
   ProxyClock::time_point Transmit(std::size_t bytes);
 };
 
-// What happens to the bytes of one direction of a pair.
+// The faults of one direction of a pair, and its byte count.
 struct DirectionFaults {
   std::chrono::milliseconds delay{0};
-  bool freeze = false;  // Nothing is read, so the sender's window closes.
-  bool hold = false;    // Bytes are read and kept until released.
+  bool freeze = false;  // Nothing is read, so the TCP window closes.
+  bool hold = false;    // Bytes are read, but buffered until this is cleared.
   SharedLink* link = nullptr;
-  std::uint64_t bytes = 0;  // Passed on so far.
+  std::uint64_t bytes = 0;  // Forwarded so far.
 };
 
-// Carries the bytes of one direction of one connection.
+// Forwards the bytes of one direction of one connection.
 class Relay : public QObject {
  public:
   Relay(QTcpSocket& from, QTcpSocket& to, DirectionFaults& faults);
 
-  // Reads and passes on what the faults allow; to be called when they change.
+  // Reads and forwards as far as the faults allow. Must be called when the faults change.
   void Update();
 
   // Discards all bytes from now on.
   void Silence();
 
-  // The sender closed; the receiver is closed after the last byte.
+  // To be called when the sender has closed its connection; closes the connection to the receiver
+  // after the last byte.
   void OnSenderClosed();
 
  private:
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -16,27 +16,27 @@
 
 namespace damaskhollow::test {
 
-// One backend server VM of a fleet.
+// A VM of a fleet: a backend server and the node next to it.
 struct FleetServer {
   std::string id;
   std::string region = "west";
   std::string data_centre = "w1";
   int slots = 4;
   int connections = 64;
-  std::string service = "shop";  // Or "front", whose nodes only take calls in.
+  std::string service = "shop";  // Or "front", whose nodes only forward calls.
   std::vector<std::string> backend_arguments = {};
 };
 
-// What a fleet consists of. The declaration has the service "shop" with these rules: GET /read
-// urgent, POST /book urgent and not idempotent, GET /page normal, GET /bulk bulk, POST /job bulk
-// and not idempotent.
+// The processes and the declaration of a fleet. The declaration has the service "shop" with these
+// rules: GET /read has priority urgent, POST /book is urgent and not idempotent, GET /page is
+// normal, GET /bulk is bulk, POST /job is bulk and not idempotent.
 struct FleetOptions {
   std::vector<FleetServer> servers = {};
-  bool with_platform = false;   // Configuration service and VM list instead of a file.
-  bool proxy_peers = false;     // Each link between nodes passes the proxy.
-  bool proxy_backends = false;  // Each connection to a backend server passes the proxy.
+  bool with_platform = false;   // Use the platform stand-in instead of a declaration file.
+  bool proxy_peers = false;     // Route links between nodes through the proxy.
+  bool proxy_backends = false;  // Route backend connections through the proxy.
   std::vector<std::string> node_arguments = {};
-  std::string priorities = {};  // JSON array in place of the default one.
+  std::string priorities = {};  // JSON array; empty for the default priorities.
   int deadline_ms = 5000;
   int max_body_bytes = 4 << 20;
   int health_interval_ms = 500;
@@ -45,21 +45,23 @@
   int paid_link_bytes_per_second = 3000000;
 };
 
-// `count` servers s1, s2, ... in one data centre.
+// Returns `count` servers s1, s2, ... in one data centre.
 std::vector<FleetServer> SmallFleet(int count, int slots = 4);
 
-// The same, but the first server belongs to "front": calls through its node go to other nodes.
+// Like SmallFleet(), but the first server belongs to the service "front", so that its node forwards
+// all calls to other nodes.
 std::vector<FleetServer> FleetWithIngressOnlyNode(int count, int slots = 4);
 
-// How often requests with a test id ran on all backend servers.
+// How often requests with a given test id were started on the backend servers.
 struct RunCounts {
   int ran = 0;
   int completed = 0;
-  int cut = 0;
+  int cut = 0;  // The connection was closed during the run.
 };
 
-// Nodes with their backend servers, and optionally the platform and a proxy on all links, as
-// processes on 127.0.0.1. Servers are addressed by their index.
+// Runs nodes and their backend servers as processes on 127.0.0.1, optionally with the platform
+// stand-in and the fault-injecting proxy. Nodes and backend servers are identified by the index of
+// their entry in FleetOptions::servers.
 class Fleet {
  public:
   explicit Fleet(FleetOptions options);
@@ -67,8 +69,8 @@
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // Starts all processes and waits until all nodes are ready and linked; false if they are not
-  // within the limit.
+  // Starts all processes and waits until all nodes are ready and linked. Returns false on a
+  // timeout.
   bool Start();
 
   std::size_t Size() const { return m_servers.size(); }
@@ -80,66 +82,69 @@
   Process& Node(std::size_t index) { return *m_servers[index].node; }
   Process& Backend(std::size_t index) { return *m_servers[index].backend_process; }
 
-  // Starts a node or a backend server that ended, with the same addresses.
+  // Kills a node or a backend server if it is running, and starts it with the same addresses.
   void RestartNode(std::size_t index);
   void RestartBackend(std::size_t index);
 
-  // Waits until a call through each node is answered.
+  // Waits until a call through each node has the outcome "answered". This and the other wait
+  // functions return false on a timeout.
   bool WaitUntilAllServe();
 
-  // Waits until a backend server answers.
+  // Waits until a backend server responds to health checks.
   bool WaitUntilServing(std::size_t index);
 
-  // Waits until a node answers /readyz with 200.
+  // Waits until a node responds to /readyz with status 200.
   bool WaitUntilReady(std::size_t index);
 
   // Waits until a node has links to all others.
   bool WaitUntilLinked(std::size_t index);
 
-  // Sends a request through a node's caller port.
+  // Sends a request to a node's caller port and waits for the response.
   HttpResponse Call(std::size_t index, std::string_view method, std::string_view target,
                     std::vector<HttpHeader> headers = {}, std::string body = {});
 
-  // Sends a request through a node's caller port without waiting.
+  // Sends a request to a node's caller port without waiting; `done` receives the response.
   ConnectionId Send(std::size_t index, const HttpRequest& request, HttpClient::Done done);
 
-  // Controls one backend server, or all.
+  // Sends the options in `query` to /control/set of one backend server, or of all.
   void SetBackend(std::size_t index, std::string_view query);
   void SetBackends(std::string_view query);
 
-  // The log of runs of one backend server; empty if it does not answer.
+  // Returns the run statistics of one backend server; empty if it does not respond.
   QJsonObject Runs(std::size_t index);
   RunCounts RunsOf(std::string_view test_id);
   RunCounts RunsOf(std::size_t index, std::string_view test_id);
 
-  // A node's /status.
+  // Returns the response of a node's /status.
   QJsonObject Status(std::size_t index);
 
-  // The value of a line of a node's /metrics, which begins with `name`; 0 if there is none.
+  // Returns the value of the sample `name` in a node's /metrics; 0 if there is none. `name`
+  // includes the labels.
   double Metric(std::size_t index, std::string_view name);
 
-  // Sets faults on the links that the first node dialled to the second one.
+  // Sets faults on the links that node `from` dialled to node `to`.
   void SetPeerLink(std::size_t from, std::size_t to, std::string_view query);
 
-  // Sets faults on the links between two nodes, whichever dialled.
+  // Sets faults on the links between two nodes, whichever node dialled them.
   void SetPeerLinks(std::size_t first, std::size_t second, std::string_view query);
 
   // Sets faults on all links between regions.
   void SetRegionLinks(std::string_view query);
 
-  // Limits all links between regions together.
+  // Limits the total bandwidth of all links between regions, in each direction.
   void LimitRegionLinks(double bits_per_second);
 
-  // Bytes that passed the links between regions so far, both ways.
+  // Returns the bytes that the links between regions have carried in both directions.
   std::int64_t RegionLinkBytes();
 
   // Sets faults on the connections to a backend server.
   void SetBackendLink(std::size_t index, std::string_view query);
 
-  // The declaration as in force at the start.
+  // Returns the JSON text of the declaration that the nodes start with.
   std::string Declaration() const;
 
-  // Platform stand-in.
+  // Control of the platform stand-in. PutVms() lists all servers but those in `absent`, and marks
+  // those in `leaving` as leaving. Return false if the request failed.
   bool PutConfiguration(std::string_view text, int version);
   bool PutVms(int version, const std::vector<std::string>& leaving = {},
               const std::vector<std::string>& absent = {});
@@ -148,7 +153,7 @@
   QJsonObject PlatformReads();
   Process& Platform() { return *m_platform; }
 
-  // The end of what the nodes printed, for messages of failed tests.
+  // Returns the last 2000 bytes of each node's output, for assertion messages.
   std::string NodeOutput() const;
 
   HttpClient& Client() { return m_client; }
@@ -161,16 +166,16 @@
     Endpoint peer;
     Endpoint admin;
     Endpoint backend;
-    Endpoint declared_backend;  // The proxy, if there is one.
+    Endpoint declared_backend;  // The proxy's address if proxied.
     std::unique_ptr<Process> node;
     std::unique_ptr<Process> backend_process;
   };
 
-  // One direction of dialling between two nodes.
+  // The proxy's pair for the links that node `from` dials to node `to`.
   struct PeerPair {
     std::size_t from;
     std::size_t to;
-    std::size_t number;  // Of the proxy's pair.
+    std::size_t number;  // Index of the pair in the proxy.
     Endpoint listen;
   };
 
--- a/tests/support/fleetdemo/main.cpp
+++ b/tests/support/fleetdemo/main.cpp
@@ -30,7 +30,7 @@
 constexpr int kMaxLoadSeconds = 600;
 constexpr int kMaxStaySeconds = 3600;
 
-// One kind of calls of the demo. The rates follow a capacity of 6 x 4 slots / 40 ms = 600 calls/s.
+// A stream of calls. The rates are set for a capacity of 6 x 4 slots / 40 ms = 600 calls/s.
 struct DemoStream {
   const char* name;
   const char* method;
@@ -45,8 +45,8 @@
     DemoStream{"bulk", "GET", "/bulk", 50.0},
 };
 constexpr std::size_t kBulkStream = 3;
-// Ten times what the six backend servers can take would keep the generator busier than the nodes;
-// twice is enough to fill all slots and queues.
+// Twice the capacity of the six backend servers is enough to fill all slots and queues. Ten times
+// the capacity would load the generator more than the nodes.
 constexpr double kFloodCallsPerSecond = 1200.0;
 
 std::vector<FleetServer> DemoServers() {
@@ -82,7 +82,7 @@
   return streams;
 }
 
-// The reasons of the calls that were not answered; "-" if there are none.
+// Returns the reasons of the calls that were not answered, with counts; "-" if there are none.
 std::string ReasonsText(const LoadCounts& counts) {
   std::string text;
   for (const auto& [reason, count] : counts.by_reason) {
@@ -94,7 +94,7 @@
   return text.empty() ? "-" : text;
 }
 
-// Prints the table and returns whether every call is accounted for.
+// Prints the results and returns whether each call ended with the outcome "answered" or "not-run".
 bool PrintReport(const LoadGenerator& load) {
   TextTable table("calls by priority", {"stream", "sent", "answered", "not-run", "unknown",
                                         "p50 ms", "p99 ms", "reasons"});
@@ -108,7 +108,7 @@
                   std::to_string(not_run), std::to_string(unknown),
                   FormatNumber(counts.Quantile(0.5), 1), FormatNumber(counts.Quantile(0.99), 1),
                   ReasonsText(counts)});
-    // The demo injects no fault, so no outcome may be unknown.
+    // The demo injects no faults, so no outcome may be unknown.
     all_accounted_for = all_accounted_for && answered + not_run == counts.sent && unknown == 0;
   }
   table.Print(std::cout);
@@ -144,7 +144,8 @@
   return all_accounted_for ? 0 : 1;
 }
 
-// Starts the fleet with the platform stand-in and leaves it up for operators to try commands on.
+// Starts the fleet with the platform stand-in and keeps it running for `duration`, so that
+// operators can try commands on it.
 int KeepFleetRunning(std::chrono::seconds duration) {
   Fleet fleet(FleetOptions{.servers = DemoServers(), .with_platform = true});
   if (!fleet.Start()) {
@@ -177,7 +178,7 @@
   parser.addHelpOption();
   parser.addOptions({{"seconds", "Length of the load, 3 to 600.", "N", "9"},
                      {"seed", "Seed of the load.", "N", "1"},
-                     {"stay", "No load: leave the fleet up for so many seconds, 1 to 3600.", "N"}});
+                     {"stay", "No load: keep the fleet running for N seconds, 1 to 3600.", "N"}});
   parser.process(application);
   if (parser.isSet("stay")) {
     const int stay_seconds = std::clamp(parser.value("stay").toInt(), 1, kMaxStaySeconds);
--- a/tests/support/freeport.cpp
+++ b/tests/support/freeport.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Below the range from which the kernel takes ports of outgoing connections, as one of those could
-// take the port before the program listens.
+// Below the kernel's range of ephemeral ports: an outgoing connection could otherwise occupy the
+// port before the program listens on it.
 constexpr std::uint16_t kFirstPort = 10000;
 constexpr std::uint16_t kPortCount = 20000;
 
--- a/tests/support/freeport.h
+++ b/tests/support/freeport.h
@@ -5,7 +5,8 @@
 
 namespace damaskhollow::test {
 
-// An address on 127.0.0.1 that nothing listens on. This process gets no address twice.
+// Returns an address on 127.0.0.1 that nothing listens on. Never returns the same address twice
+// within a process.
 Endpoint FreeEndpoint();
 
 }  // namespace damaskhollow::test
--- a/tests/support/httpclient.cpp
+++ b/tests/support/httpclient.cpp
@@ -28,7 +28,8 @@
 
 std::string HttpResponse::Describe() const {
   return "status " + std::to_string(status) + ", outcome " + Outcome() + ", reason " +
-         ReasonName() + (complete ? ", whole, " : ", cut, ") + std::to_string(body.size()) +
+         ReasonName() + (complete ? ", complete, " : ", incomplete, ") +
+         std::to_string(body.size()) +
          " bytes: " + body.substr(0, status == 200 ? 0 : kMaxDescribedBytes);
 }
 
@@ -111,7 +112,7 @@
 void HttpClient::Remove(ConnectionId connection) {
   const auto found = m_connections.find(connection);
   if (found == m_connections.end()) return;
-  found->second.release()->deleteLater();  // It is the sender of the present event.
+  found->second.release()->deleteLater();  // It may be the source of the current event.
   m_connections.erase(found);
 }
 
@@ -119,7 +120,7 @@
   const auto found = m_pending.find(connection);
   const Exchange exchange = std::move(found->second);
   m_pending.erase(found);
-  // From the event loop, so that a receiver may delete the client.
+  // Queued, so that the callback may delete the client.
   QMetaObject::invokeMethod(
       this, [exchange] { exchange.done(exchange.response); }, Qt::QueuedConnection);
 }
--- a/tests/support/httpclient.h
+++ b/tests/support/httpclient.h
@@ -17,41 +17,42 @@
 
 namespace damaskhollow::test {
 
-// What came back for a request.
+// The response to a request, or the failure that ended the request.
 struct HttpResponse {
-  bool complete = false;  // The whole answer arrived.
+  bool complete = false;  // The response arrived to its end.
   Reason failure = Reason::kNone;
-  int status = 0;  // 0: not even the head arrived.
+  int status = 0;  // 0: no response head arrived.
   std::vector<HttpHeader> headers;
   std::string body;
 
-  // The outcome that the caller can rely on: "answered", "not-run" or "unknown"; the latter also if
-  // the answer is not whole. "refused" if the connection was not even made.
+  // Returns the outcome as the caller may conclude it: "answered", "not-run" or "unknown", or
+  // "refused" if no connection was established. A truncated response with the outcome "answered"
+  // counts as "unknown".
   std::string Outcome() const;
 
-  // The value of Damaskhollow-Reason.
+  // Returns the value of the header Damaskhollow-Reason.
   std::string ReasonName() const;
 
   std::string Header(std::string_view name) const;
 
-  // For messages of failed tests.
+  // Returns a summary for assertion messages.
   std::string Describe() const;
 };
 
-// Sends HTTP requests on the calling thread's event loop. It never sends a request twice.
+// Sends HTTP requests on the calling thread's event loop. Never retries a request.
 class HttpClient : public QObject, public BackendEvents {
  public:
   using Done = std::function<void(const HttpResponse&)>;
 
-  // With `reuse` connections are kept for further requests to the same address.
+  // With `reuse`, idle connections are kept open for further requests to the same address.
   explicit HttpClient(bool reuse = false) : m_reuse(reuse) {}
   ~HttpClient() override;
 
-  // Sends a request; `done` is called from the event loop, but not after Cancel.
+  // Sends a request. `done` is called from the event loop, unless Cancel() is called before.
   ConnectionId Send(const Endpoint& endpoint, const HttpRequest& request,
                     std::chrono::milliseconds timeout, Done done);
 
-  // Closes the connection of a request, as a caller that leaves.
+  // Closes the connection of a pending request, like a caller that disconnects.
   void Cancel(ConnectionId connection);
 
   // Sends a request and runs the event loop until it is done.
@@ -82,7 +83,7 @@
   std::map<Endpoint, std::vector<ConnectionId>> m_idle;
 };
 
-// A request without a body.
+// Returns a request; without `body` it has an empty one.
 HttpRequest MakeRequest(std::string_view method, std::string_view target,
                         std::vector<HttpHeader> headers = {}, std::string body = {});
 
--- a/tests/support/httpserver.cpp
+++ b/tests/support/httpserver.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kBodyLimitBytes = 64UL * 1024UL * 1024UL;
 constexpr std::size_t kBodyBudgetBytes = 512UL * 1024UL * 1024UL;
 constexpr int kListenBacklog = 1024;
-// Longer than any test, so that the stand-in closes no connection of its own accord.
+// Longer than any test, so that the stand-in never closes an idle connection.
 constexpr int kIdleTimeoutMs = 3600000;
 
 }  // namespace
@@ -88,7 +88,7 @@
 void HttpServer::Remove(ConnectionId connection) {
   const auto found = m_connections.find(connection);
   if (found == m_connections.end()) return;
-  found->second.release()->deleteLater();  // It may be the sender of the present event.
+  found->second.release()->deleteLater();  // It may be the source of the current event.
   m_connections.erase(found);
 }
 
--- a/tests/support/httpserver.h
+++ b/tests/support/httpserver.h
@@ -16,32 +16,33 @@
 
 namespace damaskhollow::test {
 
-// A small HTTP/1.1 server for stand-ins. Runs on the thread that creates it.
+// A minimal HTTP/1.1 server for stand-ins. Runs on the thread that creates it.
 class HttpServer : public QTcpServer, public CallerEvents {
  public:
   using RequestHandler = std::function<void(ConnectionId, HttpRequest)>;
   using ClosedHandler = std::function<void(ConnectionId)>;
 
-  // `handle` gets each whole request and answers it at once or later. `gone` hears of connections
-  // that the caller closed.
+  // `handle` receives each complete request and responds to it immediately or later. `on_closed` is
+  // called when a client closes its connection.
   explicit HttpServer(RequestHandler handle, ClosedHandler on_closed = nullptr);
   ~HttpServer() override;
 
-  // False if the address cannot be used.
+  // Returns false if the server cannot listen on the address.
   bool Listen(const Endpoint& endpoint);
 
-  // The connection, or null if it has been closed.
+  // Returns the connection, or null if it has been closed.
   CallerConnection* Find(ConnectionId connection);
 
-  // Answers the present request with a body of known length.
+  // Responds to the oldest open request of the connection with a Content-Length body. Does nothing
+  // if the connection has been closed.
   void SendResponse(ConnectionId connection, int status, std::string_view body,
                     std::vector<HttpHeader> headers = {});
 
-  // Answers the present request in chunks of at most `chunk_bytes`.
+  // Like SendResponse(), but with chunked encoding in chunks of at most `chunk_bytes`.
   void SendChunkedResponse(ConnectionId connection, int status, std::string_view body,
                            std::size_t chunk_bytes, std::vector<HttpHeader> headers = {});
 
-  // Closes the connection without an answer.
+  // Closes the connection without a response.
   void Abort(ConnectionId connection);
 
   std::size_t BodyLimit(const HttpRequest& head) const override;
--- a/tests/support/loadgenerator.cpp
+++ b/tests/support/loadgenerator.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::chrono::milliseconds kTickInterval{1};
 constexpr std::chrono::milliseconds kCallTimeout{30000};
-// Without a rate a stream looks again after this time.
+// A stream with rate 0 checks its rate again after this time.
 constexpr std::chrono::milliseconds kZeroRateRecheckInterval{100};
 
 }  // namespace
--- a/tests/support/loadgenerator.h
+++ b/tests/support/loadgenerator.h
@@ -16,46 +16,47 @@
 
 namespace damaskhollow::test {
 
-// Calls of one kind that arrive at a rate of their own.
+// A stream of identical calls with its own rate.
 struct LoadStream {
   std::string name;  // Sent as X-Test-Class.
   HttpRequest request;
   double rate_per_second = 0.0;
-  std::vector<Endpoint> targets;  // Each call goes to one, chosen at random.
-  bool is_direct = false;         // Targets are backend servers, whose answers carry no outcome.
+  std::vector<Endpoint> targets;  // Each call goes to a random one.
+  bool is_direct = false;         // Targets are backend servers; responses have no outcome.
 };
 
-// What became of the calls of one stream.
+// The results of the calls of one stream.
 struct LoadCounts {
   std::size_t sent = 0;
-  std::size_t skipped = 0;  // Due, but too many calls were pending in this process.
+  std::size_t skipped = 0;  // Not sent, as `max_pending` calls were pending.
   std::map<std::string, std::size_t> by_outcome;
   std::map<std::string, std::size_t> by_reason;
-  std::vector<double> latencies_ms;  // From the planned start to the end of answered calls.
+  std::vector<double> latencies_ms;  // Of answered calls, from the scheduled start.
 
   std::size_t Count(const std::string& outcome) const;
 
-  // The latency below which this part of the answered calls stayed; 0 without calls.
+  // Returns the given quantile (0 to 1) of the latencies in ms; 0 if no call was answered.
   double Quantile(double quantile) const;
 };
 
-// Sends calls at given rates however long the answers take, with seeded exponential gaps. Runs on
-// the calling thread's event loop.
+// Open-loop load generator: sends calls at given rates regardless of response times, with
+// exponentially distributed gaps from a seeded random source. Runs on the calling thread's event
+// loop.
 class LoadGenerator : public QObject {
  public:
   LoadGenerator(std::vector<LoadStream> streams, std::uint64_t seed,
                 std::size_t max_pending = 4096);
 
-  // Sends for this long; latencies count from when a call was due.
+  // Sends for `duration`. Latencies are measured from the time at which a call was due.
   void Start(std::chrono::milliseconds duration);
 
-  // Changes the rate of a stream from now on.
+  // Changes the rate of a stream, effective immediately.
   void SetRate(std::size_t stream, double rate_per_second);
 
-  // Whether all calls have been sent and have ended.
+  // Returns whether sending has stopped and all calls have ended.
   bool IsDone() const { return m_stopped && m_client.Pending() == 0 && m_pending == 0; }
 
-  // Sends no more calls.
+  // Stops sending; pending calls continue.
   void Stop();
 
   const LoadCounts& Counts(std::size_t stream) const { return m_counts[stream]; }
--- a/tests/support/patternbody.h
+++ b/tests/support/patternbody.h
@@ -7,7 +7,8 @@
 
 namespace damaskhollow::test {
 
-// A body that only this key has, so that a byte of another answer or a lost byte is seen.
+// Returns a pseudo-random body derived from `key`, so that a test detects lost bytes and bytes of
+// another response.
 std::string PatternBody(std::string_view key, std::size_t bytes);
 
 }  // namespace damaskhollow::test
--- a/tests/support/platformfleet.cpp
+++ b/tests/support/platformfleet.cpp
@@ -58,7 +58,7 @@
     server.ip = "127.0.0." + std::to_string(index + 1);
     server.outbound = FreeEndpoint();
     server.ready = FreeEndpoint();
-    // The instance has its VM's address, by which its node knows it.
+    // A node finds its own instance in the store by the IP address of its VM.
     server.instance = std::make_unique<StandInInstance>("i-" + std::to_string(index),
                                                         Endpoint{server.ip, FreeEndpoint().port});
     server.node = std::make_unique<Process>(
--- a/tests/support/platformfleet.h
+++ b/tests/support/platformfleet.h
@@ -17,8 +17,8 @@
 
 namespace damaskhollow::test {
 
-// A stand-in of one instance of the users' services, as far as callers see it. Requests to /slow/
-// take 300 ms; those to /lost/ run and get no answer.
+// A stand-in for one instance of a service on the users' platform, as callers see it. Requests to
+// /slow/ take 300 ms; requests to /lost/ run, but the connection is closed without a response.
 class StandInInstance {
  public:
   struct Run {
@@ -44,24 +44,27 @@
   HttpServer m_server;
 };
 
-// Processes of the program for the users' platform, one beside each of two instances of the service
-// "portal", with a stand-in of the store. Nodes are addressed by their index.
+// Runs two damaskhollow-platform processes, each next to an instance of the service "portal", with
+// a stand-in for the metadata store. Nodes are identified by their index.
 class PlatformFleet {
  public:
   static constexpr std::size_t kNodes = 2;
 
   PlatformFleet();
 
-  // Stores the configuration; `more_routes` are JSON objects, each with a comma before it.
+  // Writes the configuration to the store; `more_routes` are JSON objects, each preceded by a
+  // comma.
   void PutConfiguration(int version, std::string_view more_routes = "");
   void PutInstance(std::size_t index, std::string_view state = "ready");
 
   void StartNode(std::size_t index);
-  // Starts all and waits until each node serves.
+  // Writes the configuration and the instances to the store, starts all nodes and waits until each
+  // of them serves. Returns false on a timeout.
   bool Start();
   bool WaitUntilServing(std::size_t index);
 
-  // Sends a request with the host "shop.test" to a node's outbound address.
+  // Sends a request with the host "shop.test" to a node's outbound address. Call() waits for the
+  // response.
   HttpResponse Call(std::size_t index, std::string_view method, std::string_view target,
                     std::string body = {});
   ConnectionId Send(std::size_t index, std::string_view method, std::string_view target,
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -10,35 +10,35 @@
 
 namespace damaskhollow::test {
 
-// A program of the build folder that a test started. It ends with this object, and also when the
-// test process dies.
+// Runs a program from the build folder. The program is killed when this object is destroyed, and
+// also when the test process exits or crashes.
 class Process {
  public:
-  // `log_file` gets what the program prints; later runs append to it.
+  // The program's output is appended to `log_file`.
   Process(std::string_view program, std::vector<std::string> arguments, std::string log_file);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // Starts the program; also again after it ended.
+  // Starts the program. May be called again after it has exited.
   void Start();
 
-  // Sends a signal, for instance SIGSTOP, SIGCONT, SIGTERM or SIGKILL.
+  // Sends a signal, for instance SIGSTOP, SIGCONT, SIGTERM or SIGKILL, if the program is running.
   void Signal(int signal);
 
-  // Sends SIGKILL and waits for the end.
+  // Sends SIGKILL and waits until the program has exited.
   void Kill();
 
-  // Whether the program ended within the limit.
+  // Runs the event loop until the program has exited. Returns false on a timeout.
   bool WaitForExit(std::chrono::milliseconds limit);
 
   bool IsRunning() const { return m_process.state() != QProcess::NotRunning; }
   int ExitStatus() const { return m_process.exitCode(); }
 
-  // Most memory that the process ever had resident (VmHWM); 0 if it does not run.
+  // Returns the peak resident set size (VmHWM); 0 if the program is not running.
   std::size_t PeakResidentKilobytes() const;
 
-  // All that the program printed.
+  // Returns the output of all runs so far.
   std::string Output() const;
 
   void SetArguments(std::vector<std::string> arguments) { m_arguments = std::move(arguments); }
--- a/tests/support/rawclient.h
+++ b/tests/support/rawclient.h
@@ -10,22 +10,23 @@
 
 namespace damaskhollow::test {
 
-// A connection that sends bytes as given, for requests that no proper client would send.
+// A TCP client that sends raw bytes, for malformed or incomplete requests.
 class RawClient {
  public:
   explicit RawClient(const Endpoint& endpoint);
 
   void Send(std::string_view bytes);
 
-  // Runs the event loop until the text was received; false if the connection closed before.
+  // Runs the event loop until `text` has been received. Returns false on a timeout or if the
+  // connection is closed before.
   bool WaitFor(std::string_view text);
 
   bool WaitForClose();
 
-  // Waits until all has been handed to the network or the connection closed.
+  // Waits until all bytes have been passed to the kernel or the connection is closed.
   void Flush();
 
-  // Closes at once, as a caller that leaves.
+  // Closes the connection immediately, like a caller that disconnects.
   void Abort() { m_socket.abort(); }
 
   const std::string& Received();
--- a/tests/support/scriptedserver.cpp
+++ b/tests/support/scriptedserver.cpp
@@ -15,12 +15,12 @@
 
 using std::chrono::milliseconds;
 
-// The bytes are read before the end, as a reset may overtake them.
+// Gives the client time to read the bytes, which a reset could otherwise overtake.
 constexpr milliseconds kEndDelay{50};
 constexpr milliseconds kRequestTimeout{5000};
 constexpr std::size_t kCreditBytes = 65536;
 
-// Collects what became of one request.
+// Records the response or failure of one request.
 class ResponseCollector : public BackendEvents {
  public:
   void OnBackendPart(ConnectionId, AnswerPart part, bool) override {
--- a/tests/support/scriptedserver.h
+++ b/tests/support/scriptedserver.h
@@ -13,7 +13,7 @@
 
 namespace damaskhollow::test {
 
-// A server that answers each request with the same bytes, written in the pieces given.
+// A server that responds to each request with the same bytes, split into the given writes.
 class ScriptedServer : public QTcpServer {
  public:
   enum class End { kKeepOpen, kClose, kReset };
@@ -33,16 +33,16 @@
   const End m_end;
 };
 
-// What a backend connection made of the server's bytes.
+// The response or failure that a BackendConnection reports for the server's bytes.
 struct CollectedResponse {
   bool complete = false;
-  int status = 0;  // 0: no head was accepted.
+  int status = 0;  // 0: no response head was accepted.
   std::string body;
   std::optional<Reason> failure;
 };
 
-// Sends one request with the id "mine", whose answer must repeat it in Request-Id and bear the
-// field Seal, and runs the event loop until the request has ended.
+// Sends one request with the id "mine" and runs the event loop until the request has ended. The
+// connection only accepts a response that repeats the id in Request-Id and has the header Seal.
 CollectedResponse FetchFrom(const ScriptedServer& server);
 
 }  // namespace damaskhollow::test
--- a/tests/support/standin-backend/backendmodel.cpp
+++ b/tests/support/standin-backend/backendmodel.cpp
@@ -55,7 +55,7 @@
 
 void BackendModel::LogRun(char event, const std::string& test_id) {
   if (!m_run_log.is_open() || test_id.empty()) return;
-  m_run_log << event << ' ' << test_id << std::endl;  // Flushed, as the process may crash next.
+  m_run_log << event << ' ' << test_id << std::endl;  // Flushed, as a crash may follow.
 }
 
 void BackendModel::HandleRequest(ConnectionId connection, HttpRequest request) {
@@ -155,7 +155,7 @@
 
 void BackendModel::Complete(ConnectionId connection) {
   const auto found = m_running.find(connection);
-  if (found == m_running.end()) return;  // The caller left; a later run has another connection.
+  if (found == m_running.end()) return;  // The connection was closed; its id is never reused.
   if (m_hold) return m_held.push_back(connection);
   const Work work = std::move(found->second);
   m_running.erase(found);
--- a/tests/support/standin-backend/backendmodel.h
+++ b/tests/support/standin-backend/backendmodel.h
@@ -17,27 +17,30 @@
 
 namespace damaskhollow::test {
 
-// How a backend server behaves until it is told otherwise.
+// The initial behaviour of a backend server; /control/set changes parts of it.
 struct BackendSettings {
   std::size_t slots = 9;
-  std::size_t queue_limit = 1000;      // Requests that wait for a slot; more are shed.
+  std::size_t queue_limit = 1000;      // Requests waiting for a slot; more are shed.
   double service_ms = 5.0;             // Mean.
   std::string distribution = "fixed";  // Or "exponential".
   std::uint64_t seed = 1;
   int shed_status = 503;
   int drain_status = 503;
-  double cold_factor = 1.0;  // Slowdown right after the start; falls to 1 over `cold_ms`.
+  double cold_factor = 1.0;  // Slowdown at the start; falls to 1 over `cold_ms`.
   double cold_ms = 0.0;
-  std::string run_log;  // File that keeps the runs by test id over a crash; empty for none.
+  // File that preserves the runs by test id across a crash of the process; empty for none.
+  std::string run_log;
 };
 
-// A backend server with slots, a queue and faults on request. Test requests take the options `ms`,
-// `bytes`, `status`, `chunked`, `abort` and `crash` from the query or from X-Test-Options.
+// Simulates a backend server with slots, a queue and injected faults. Test requests accept the
+// options `ms`, `bytes`, `status`, `chunked`, `abort` and `crash` in the query string or in the
+// header X-Test-Options; the query string takes precedence. /control/set changes the behaviour of
+// the server, and /control/runs returns its run statistics as JSON.
 class BackendModel : public QObject {
  public:
   explicit BackendModel(const BackendSettings& settings);
 
-  // False if the address cannot be used.
+  // Returns false if the server cannot listen on the address.
   bool Listen(const Endpoint& endpoint) { return m_server.Listen(endpoint); }
 
  private:
@@ -53,7 +56,7 @@
     int ran = 0;
     int completed = 0;
     int cut = 0;
-    double busy_ms = 0.0;  // Planned time of the completed runs.
+    double busy_ms = 0.0;  // Sum of the planned service times of completed runs.
 
     QJsonObject ToJson() const;
   };
@@ -86,10 +89,10 @@
   int m_failed = 0;
   std::size_t m_peak_in_flight = 0;
   double m_slowdown = 1.0;
-  int m_fail_status = 0;  // 0: does not fail fast.
+  int m_fail_status = 0;  // Requests fail immediately with it; 0: off.
   bool m_drain_status_on = false;
   bool m_drain_header_on = false;
-  bool m_hold = false;  // Runs do not complete while set.
+  bool m_hold = false;  // While set, runs do not complete.
   std::deque<ConnectionId> m_held;
 };
 
--- a/tests/support/standin-backend/main.cpp
+++ b/tests/support/standin-backend/main.cpp
@@ -34,15 +34,15 @@
   parser.addHelpOption();
   parser.addOptions({
       {"listen", "Address to listen on.", "IP:PORT"},
-      {"slots", "Requests that run at once.", "N", "9"},
+      {"slots", "Requests that run concurrently.", "N", "9"},
       {"queue-limit", "Requests that wait; more are shed.", "N", "1000"},
       {"service-ms", "Mean service time.", "MS", "5"},
       {"distribution", "fixed or exponential.", "NAME", "fixed"},
       {"seed", "Seed of the service times.", "N", "1"},
       {"shed-status", "Status of a shed request.", "STATUS", "503"},
       {"drain-status", "Status of /health while draining.", "STATUS", "503"},
-      {"cold-factor", "Slowdown right after the start.", "F", "1"},
-      {"run-log", "File that keeps the runs by test id over a crash.", "FILE"},
+      {"cold-factor", "Slowdown factor right after the start.", "F", "1"},
+      {"run-log", "File that preserves runs by test id across crashes.", "FILE"},
       {"cold-ms", "Time over which the slowdown falls to 1.", "MS", "0"},
   });
   parser.process(application);
--- a/tests/support/standin-platform/main.cpp
+++ b/tests/support/standin-platform/main.cpp
@@ -5,8 +5,8 @@
 
 #include "platform.h"
 
-// Usage: standin-platform --listen 127.0.0.1:PORT. Prints "listening on IP:PORT" when it is ready;
-// port 0 lets the system choose.
+// Usage: standin-platform --listen 127.0.0.1:PORT. Prints "listening on IP:PORT" when it is ready.
+// With port 0 the system chooses a port.
 int main(int argc, char** argv) {
   using damaskhollow::Endpoint;
   constexpr int kUsageExitStatus = 2;
--- a/tests/support/standin-platform/platform.h
+++ b/tests/support/standin-platform/platform.h
@@ -17,11 +17,16 @@
 
 namespace damaskhollow::test {
 
-// Stand-in for the platform's configuration service and VM list (docs/platform.md).
+// Stand-in for the platform's configuration service (/v1/configuration) and VM list (/v1/vms). A
+// read with `after` is a long poll: it waits up to `wait_ms` for a version newer than `after`.
+// Tests set the documents with /control/configuration and /control/vms. With /control/down?on=1 all
+// reads are aborted; with /control/frozen?on=1 reads return the documents as of that time.
+// /control/reads returns the number of configuration reads.
 class Platform : public QTcpServer, public CallerEvents {
  public:
   Platform();
 
+  // Returns false if the server cannot listen on the address.
   bool Open(const Endpoint& endpoint);
 
  private:
@@ -34,7 +39,7 @@
 
   using Values = std::array<Value, 2>;  // Indexed by Resource.
 
-  // A read that is answered when a newer version comes or its wait ends.
+  // A read that completes when a newer version is set or its wait time has expired.
   struct PendingRead {
     ConnectionId connection;
     Resource resource = Resource::kConfiguration;
--- a/tests/support/standinstore.cpp
+++ b/tests/support/standinstore.cpp
@@ -50,8 +50,7 @@
 void StandInStore::CompactHistory() {
   m_compacted_revision = ++m_revision;
   m_changes.clear();
-  for (const PendingWatch& watch : std::exchange(m_pending_watches, {}))
-    m_server.Abort(watch.connection);
+  for (const PendingWatch& watch : std::exchange(m_pending, {})) m_server.Abort(watch.connection);
 }
 
 void StandInStore::Handle(ConnectionId connection, const HttpRequest& request) {
@@ -80,14 +79,14 @@
   const PendingWatch watch{connection, value("prefix"), std::stoull(value("after"))};
   if (watch.after < m_compacted_revision) return m_server.SendResponse(connection, kGone, "{}");
   if (HasEvents(watch)) return SendWatchEvents(watch);
-  m_pending_watches.push_back(watch);
+  m_pending.push_back(watch);
   QTimer::singleShot(std::stoi(value("waitMs")), &m_server, [this, connection] {
     const auto found =
-        std::find_if(m_pending_watches.begin(), m_pending_watches.end(),
+        std::find_if(m_pending.begin(), m_pending.end(),
                      [&](const PendingWatch& entry) { return entry.connection == connection; });
-    if (found == m_pending_watches.end()) return;
+    if (found == m_pending.end()) return;
     const PendingWatch ended = *found;
-    m_pending_watches.erase(found);
+    m_pending.erase(found);
     SendWatchEvents(ended);
   });
 }
@@ -143,11 +142,11 @@
 }
 
 void StandInStore::CompletePendingWatches() {
-  for (const PendingWatch& watch : std::exchange(m_pending_watches, {})) {
+  for (const PendingWatch& watch : std::exchange(m_pending, {})) {
     if (HasEvents(watch)) {
       SendWatchEvents(watch);
     } else {
-      m_pending_watches.push_back(watch);
+      m_pending.push_back(watch);
     }
   }
 }
--- a/tests/support/standinstore.h
+++ b/tests/support/standinstore.h
@@ -11,7 +11,8 @@
 
 namespace damaskhollow::test {
 
-// A stand-in of the users' metadata store, as far as it can be read: range and watch.
+// A stand-in for the read side of the users' metadata store: range requests (/v1/kv-range) and
+// long-polling watches. Tests change its content through the functions below.
 class StandInStore {
  public:
   enum class Mode { kServing, kBusy, kTooMany, kAborting, kSilent };
@@ -20,14 +21,15 @@
 
   Endpoint Address() const { return m_address; }
   void SetMode(Mode mode) { m_mode = mode; }
-  // Items on one page of a range.
+  // Sets the maximum number of items in a range response.
   void SetPageSize(std::size_t items) { m_page_size = items; }
 
   void Put(const std::string& key, const std::string& value);
-  // Stores text as the value's encoding, so that it need not be base64.
+  // Stores `encoded` in place of the base64 text of a value, for invalid encodings.
   void PutEncoded(const std::string& key, const std::string& encoded);
   void Delete(const std::string& key);
-  // Forgets which items changed when; watches from before get 410.
+  // Discards the change history: pending watches are aborted, and watches from an older revision
+  // get status 410.
   void CompactHistory();
 
   std::size_t Ranges() const { return m_ranges; }
@@ -65,7 +67,7 @@
   std::uint64_t m_compacted_revision = 0;
   std::map<std::string, Item> m_items;
   std::vector<Change> m_changes;
-  std::vector<PendingWatch> m_pending_watches;
+  std::vector<PendingWatch> m_pending;
   std::size_t m_ranges = 0;
   std::size_t m_watches = 0;
 };
--- a/tests/support/tabletest.h
+++ b/tests/support/tabletest.h
@@ -12,7 +12,7 @@
 
 namespace damaskhollow::test {
 
-// One row of a table as a test of its own, named "Suite::row name".
+// A test case for one row of a table, named "Suite::row name".
 template <class Row>
 class RowTest : public CppUnit::TestCase {
  public:
@@ -26,8 +26,8 @@
   void (*m_test)(const Row&);
 };
 
-// Registers a table of rows, each of which has a `name`, with the function that tests one row. The
-// table must live as long as the program.
+// Registers one test for each row of a table with CppUnit. Rows need a member `name`; `test` checks
+// one row. The table must have static storage duration.
 template <class Row>
 class TableTest : public CppUnit::TestFactory {
  public:
--- a/tests/support/testmain.cpp
+++ b/tests/support/testmain.cpp
@@ -29,7 +29,7 @@
   }
 }
 
-// The entries of KNOWN-RED.txt begin with "test: NAME".
+// Reads the names of known failing tests; each entry of the file begins with "test: NAME".
 std::set<std::string> KnownRedTests() {
   constexpr std::string_view kKey = "test: ";
   std::set<std::string> names;
--- a/tests/support/testmain.h
+++ b/tests/support/testmain.h
@@ -4,8 +4,9 @@
 namespace damaskhollow::test {
 
 // Runs all registered CppUnit tests, or those whose name contains the first argument, and prints
-// each failure and the line "N passed, N failed, N skipped". Tests that are named in the file of
-// the variable DAMASKHOLLOW_KNOWN_RED are not run but printed as skipped. Returns the exit status.
+// each failure and the line "N passed, N failed, N skipped". Tests listed in the file that the
+// environment variable DAMASKHOLLOW_KNOWN_RED names are printed and counted as skipped, not run.
+// Returns the exit status: 0 if no test failed, otherwise 1.
 int RunTests(int argc, char** argv);
 
 }  // namespace damaskhollow::test
--- a/tests/support/texttable.h
+++ b/tests/support/texttable.h
@@ -7,21 +7,22 @@
 
 namespace damaskhollow::test {
 
-// Rows of text under headings, for terminals and CSV files.
+// A table of text cells that can be printed to a terminal or written as CSV.
 class TextTable {
  public:
   TextTable(std::string title, std::vector<std::string> headings);
 
-  // A row has one cell for each heading.
+  // Adds a row, which must have one cell for each heading.
   void AddRow(std::vector<std::string> cells);
 
   const std::string& Title() const { return m_title; }
   const std::vector<std::vector<std::string>>& Rows() const { return m_rows; }
 
-  // Prints title, headings and rows in aligned columns.
+  // Prints the title, the headings and the rows in aligned columns.
   void Print(std::ostream& out) const;
 
-  // Writes headings and rows as comma-separated values; false if the file cannot be written.
+  // Writes the headings and rows as comma-separated values. Returns false if the file cannot be
+  // written. Quotation marks within cells are not escaped.
   bool WriteCsv(const std::string& path) const;
 
  private:
@@ -30,7 +31,7 @@
   std::vector<std::vector<std::string>> m_rows;
 };
 
-// A number with so many decimals.
+// Formats a number with a fixed number of decimals.
 std::string FormatNumber(double value, int decimals = 2);
 
 }  // namespace damaskhollow::test
--- a/tests/support/wait.h
+++ b/tests/support/wait.h
@@ -6,15 +6,15 @@
 
 namespace damaskhollow::test {
 
-// Generous, as the machine may be busy; a condition that does not come true in this time never
-// will.
+// Default timeout of WaitUntil(). Long enough for a heavily loaded machine, so that a condition
+// that is still false by then can be assumed never to become true.
 constexpr std::chrono::milliseconds kWaitLimit{30000};
 
-// Runs the event loop until the condition is true; false if it is not within the limit.
+// Runs the event loop until `condition` is true. Returns false if it is not true within `limit`.
 bool WaitUntil(const std::function<bool()>& condition,
                std::chrono::milliseconds limit = kWaitLimit);
 
-// Runs the event loop for a while. For tests that show that something does not happen.
+// Runs the event loop for `duration`, for tests that check that something does not happen.
 void RunFor(std::chrono::milliseconds duration);
 
 }  // namespace damaskhollow::test
