--- a/tests/support/httpserver.h
+++ b/tests/support/httpserver.h
@@ -23,7 +23,7 @@
   using ClosedHandler = std::function<void(ConnectionId)>;
 
   // `handle` receives each complete request and responds to it immediately or later. `on_closed` is
-  // called when a client closes its connection.
+  // called when a connection has been closed.
   explicit HttpServer(RequestHandler handle, ClosedHandler on_closed = nullptr);
   ~HttpServer() override;
 
