--- a/tests/integration/tst_backendabort.cpp
+++ b/tests/integration/tst_backendabort.cpp
@@ -28,7 +28,7 @@
 // Guards against a non-idempotent request that is sent twice: HTTP clients commonly resend a
 // request when the server closes a reused connection, but this backend server has already read it.
 void RunsOnce(const AbortCase& row) {
-  Fleet fleet({.servers = FrontedFleet(3)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(3)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   for (int call = 0; call < row.warm_up_calls; ++call) {
     CPPUNIT_ASSERT_EQUAL(std::string("answered"),
@@ -37,8 +37,8 @@
   constexpr int kCalls = 10;
   for (int call = 0; call < kCalls; ++call) {
     const std::string id = "abort-" + std::to_string(call);
-    const HttpAnswer response = fleet.Call(row.ingress, "POST", "/book?abort=1",
-                                           {{"X-Test-Id", id}}, std::string(row.body_bytes, 'x'));
+    const HttpResponse response = fleet.Call(row.ingress, "POST", "/book?abort=1",
+                                             {{"X-Test-Id", id}}, std::string(row.body_bytes, 'x'));
     CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("unknown"), response.Outcome());
     CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 1, fleet.RunsOf(id).ran);
   }
@@ -59,14 +59,14 @@
 // Guards against reporting "not-run" to the caller when the first attempt ran and was aborted, and
 // only the retry was refused.
 void NeverReportsNotRunAfterRun(const RefusalCase& row) {
-  Fleet fleet({.servers = FrontedFleet(3)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(3)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   fleet.SetBackend(2, row.backend_query);
   constexpr int kCalls = 30;
   int ran = 0;
   for (int call = 0; call < kCalls; ++call) {
     const std::string id = "refused-" + std::to_string(call);
-    const HttpAnswer response = fleet.Call(0, "GET", "/read?abort=1", {{"X-Test-Id", id}});
+    const HttpResponse response = fleet.Call(0, "GET", "/read?abort=1", {{"X-Test-Id", id}});
     if (fleet.RunsOf(id).ran == 0) continue;
     ++ran;
     CPPUNIT_ASSERT_MESSAGE(response.Describe(), response.Outcome() != "not-run");
--- a/tests/integration/tst_badinput.cpp
+++ b/tests/integration/tst_badinput.cpp
@@ -29,7 +29,8 @@
 
 void AssertServes(Fleet& fleet) {
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Node(0).IsRunning());
-  const HttpAnswer response = fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
+  const HttpResponse response =
+      fleet.Call(0, "GET", "/read?ms=0&bytes=10", {{"X-Test-Id", "after"}});
   CPPUNIT_ASSERT_MESSAGE(response.Describe(), response.body == PatternBody("after", 10));
 }
 
@@ -212,9 +213,9 @@
 // and against side effects on concurrent calls of other callers.
 void FreesSlotWhenCallerDisconnects(Fleet& fleet) {
   bool other_ended = false;
-  HttpAnswer other;
+  HttpResponse other;
   fleet.Send(0, MakeRequest("GET", "/read?ms=500&bytes=100", {{"X-Test-Id", "other"}}),
-             [&](const HttpAnswer& response) {
+             [&](const HttpResponse& response) {
                other = response;
                other_ended = true;
              });
@@ -301,7 +302,7 @@
 // the pipelined responses behind it on the same connection reach their deadlines at the same
 // moment.
 void EndsLateResponsesOfOneConnection(const LateCase& row) {
-  Fleet fleet({.servers = FrontedFleet(2)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(2)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   const NonReadingCaller caller(fleet.Caller(0));
   std::string requests;
--- a/tests/integration/tst_configuration.cpp
+++ b/tests/integration/tst_configuration.cpp
@@ -42,7 +42,7 @@
 }
 
 void AssertServes(Fleet& fleet, std::size_t index, std::string_view path) {
-  const HttpAnswer response = fleet.Call(index, "GET", path);
+  const HttpResponse response = fleet.Call(index, "GET", path);
   CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe() + fleet.NodeOutput(), std::string("answered"),
                                response.Outcome());
 }
--- a/tests/integration/tst_crashingrequest.cpp
+++ b/tests/integration/tst_crashingrequest.cpp
@@ -79,7 +79,7 @@
                        .targets = callers}},
                      1);
   load.Start(std::chrono::minutes(5));
-  HttpAnswer last_response;
+  HttpResponse last_response;
   std::string text;
   for (int resend = 0; resend < kResends; ++resend) {
     last_response =
--- a/tests/integration/tst_crowdedingress.cpp
+++ b/tests/integration/tst_crowdedingress.cpp
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT(!has_calls || WaitUntil(is_read));
   }
   CPPUNIT_ASSERT(!has_calls || WaitUntil([&] { return fleet.Metric(0, kOverloaded) > 0; }));
-  const HttpAnswer response = fleet.Call(0, "GET", "/read");
+  const HttpResponse response = fleet.Call(0, "GET", "/read");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("answered"), response.Outcome());
 }
 
--- a/tests/integration/tst_drain.cpp
+++ b/tests/integration/tst_drain.cpp
@@ -53,14 +53,14 @@
 // Guards against calls that are still sent to a leaving backend server, and against calls that are
 // aborted because it leaves.
 void LeavesWithoutLosingCalls(const DrainCase& row) {
-  Fleet fleet({.servers = FrontedFleet(3, 8),
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(3, 8),
                .with_platform = row.with_platform,
                .node_arguments = {"--drain-announce-ms=1000"},
                .deadline_ms = 60000,
                .hedge_share = 0.0});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   // Sends long calls until each of the two servers runs one.
-  std::vector<HttpAnswer> responses(kMaxLongCalls);
+  std::vector<HttpResponse> responses(kMaxLongCalls);
   std::size_t sent = 0;
   std::size_t ended = 0;
   const std::string target = "/book?bytes=100000&ms=" + std::to_string(kLongCallTime.count());
@@ -70,7 +70,7 @@
   while (sent < kMaxLongCalls && (in_flight(1) == 0 || in_flight(2) == 0)) {
     const std::size_t call = sent++;
     fleet.Send(0, MakeRequest("POST", target, {{"X-Test-Id", IdOf(call)}}),
-               [&, call](const HttpAnswer& response) {
+               [&, call](const HttpResponse& response) {
                  responses[call] = response;
                  ++ended;
                });
--- a/tests/integration/tst_flood.cpp
+++ b/tests/integration/tst_flood.cpp
@@ -76,7 +76,7 @@
 // Guards against a flood of one priority that takes slot time from the guaranteed shares of the
 // others or causes calls within these shares to fail.
 void KeepsOtherPrioritiesServed(const FloodCase& row) {
-  Fleet fleet({.servers = FrontedFleet(1 + kServers, kSlots)});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(1 + kServers, kSlots)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   std::vector<LoadStream> streams;
   for (const StreamPlan& plan : row.streams) {
--- a/tests/integration/tst_pausedowner.cpp
+++ b/tests/integration/tst_pausedowner.cpp
@@ -36,24 +36,24 @@
 // Guards against an owner that, after a pause of its process, runs requests whose deadline has
 // passed and whose callers have already received a failure.
 void RunsNoExpiredWork(const PauseCase& row) {
-  Fleet fleet({.servers = FrontedFleet(2, 1), .deadline_ms = 60000});
+  Fleet fleet({.servers = FleetWithIngressOnlyNode(2, 1), .deadline_ms = 60000});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
   fleet.SetBackend(1, "hold=1");
   // Occupies the only slot until the backend server stops holding calls.
   bool blocker_ended = false;
   fleet.Send(0, MakeRequest("GET", "/page?ms=0", {{"X-Test-Id", "blocker"}}),
-             [&](const HttpAnswer&) { blocker_ended = true; });
+             [&](const HttpResponse&) { blocker_ended = true; });
   CPPUNIT_ASSERT(WaitUntil([&] { return fleet.RunsOf("blocker").ran == 1; }));
 
   if (!row.queue_before_pause) fleet.Node(1).Signal(SIGSTOP);
-  std::array<HttpAnswer, kCalls> responses;
+  std::array<HttpResponse, kCalls> responses;
   std::size_t ended = 0;
   for (std::size_t call = 0; call < kCalls; ++call) {
     const HttpRequest request =
         MakeRequest(row.method, std::string(row.path) + "?ms=0",
                     {{"X-Test-Id", IdOf(call)},
                      {"Damaskhollow-Deadline-Ms", std::to_string(kShortDeadline.count())}});
-    fleet.Send(0, request, [&, call](const HttpAnswer& response) {
+    fleet.Send(0, request, [&, call](const HttpResponse& response) {
       responses[call] = response;
       ++ended;
     });
--- a/tests/integration/tst_platformprogram.cpp
+++ b/tests/integration/tst_platformprogram.cpp
@@ -33,7 +33,7 @@
 
 // Guards against changing a request or its response in transit.
 void ForwardsRequestAndResponse(PlatformFleet& fleet) {
-  const HttpAnswer response = fleet.Call(0, "POST", "/look/a?b=c", "body");
+  const HttpResponse response = fleet.Call(0, "POST", "/look/a?b=c", "body");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 200, response.status);
   CPPUNIT_ASSERT(response.body.ends_with(" /look/a?b=c body"));
   CPPUNIT_ASSERT_EQUAL("seal-" + response.Header("Request-Id"), response.Header("Response-Seal"));
@@ -82,7 +82,7 @@
 // Guards against running an unsafe request twice when its response is lost, and against a response
 // that claims that it did not run.
 void RunsUnsafeRequestOnce(PlatformFleet& fleet) {
-  const HttpAnswer response = fleet.Call(0, "POST", "/lost/x");
+  const HttpResponse response = fleet.Call(0, "POST", "/lost/x");
   CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), 502, response.status);
   CPPUNIT_ASSERT_EQUAL(std::size_t{1}, CountRuns(fleet, "/lost/x"));
 }
@@ -91,7 +91,7 @@
 void StopsWithoutAbortingRequests(PlatformFleet& fleet) {
   int answered = 0;
   for (int call = 0; call < 4; ++call) {
-    fleet.Send(0, "GET", "/slow/x", [&](const HttpAnswer& response) {
+    fleet.Send(0, "GET", "/slow/x", [&](const HttpResponse& response) {
       answered += response.status == 200 && response.complete ? 1 : 0;
     });
   }
@@ -118,7 +118,7 @@
   fleet.Node(1).Kill();
   fleet.Store().SetMode(StandInStore::Mode::kBusy);
   fleet.StartNode(0);
-  HttpAnswer response;
+  HttpResponse response;
   CPPUNIT_ASSERT(WaitUntil([&] {
     response = fleet.Call(0, "GET", "/look/early");
     return response.status != 0;
@@ -160,7 +160,7 @@
 // Checks that the log leads from the id of a request whose response was lost to the cause, by the
 // steps in docs/OPERATIONS.md.
 void LogExplainsLostResponse(PlatformFleet& fleet) {
-  const HttpAnswer response = fleet.Call(0, "POST", "/lost/x");
+  const HttpResponse response = fleet.Call(0, "POST", "/lost/x");
   CPPUNIT_ASSERT_EQUAL(502, response.status);
   const std::string id = fleet.LastRequestId();
   AssertLogged(fleet, id, "dispatched", {"instance=i-", "in_flight="});
@@ -176,7 +176,7 @@
   int ended = 0;
   for (int call = 0; call < kFloodCalls; ++call) {
     std::string id = fleet.NextRequestId();
-    fleet.Send(0, "GET", "/slow/x", [&refused, &ended, id](const HttpAnswer& response) {
+    fleet.Send(0, "GET", "/slow/x", [&refused, &ended, id](const HttpResponse& response) {
       ++ended;
       if (response.status == 503) refused.push_back(id);
     });
--- a/tests/integration/tst_resentrequest.cpp
+++ b/tests/integration/tst_resentrequest.cpp
@@ -45,14 +45,14 @@
                "home_unreachable", "home_released"},
 };
 
-HttpAnswer SendBooking(Fleet& fleet, std::size_t ingress, const std::string& id,
-                       std::size_t bytes) {
+HttpResponse SendBooking(Fleet& fleet, std::size_t ingress, const std::string& id,
+                         std::size_t bytes) {
   return fleet.Call(ingress, "POST", "/book?ms=0&bytes=" + std::to_string(bytes),
                     {{"X-Test-Id", id}, {"Damaskhollow-Request-Id", id}});
 }
 
 // The index of the server that ran the call.
-std::size_t ServedByIndex(const HttpAnswer& response) {
+std::size_t ServedByIndex(const HttpResponse& response) {
   return std::stoul(response.Header("Damaskhollow-Served-By").substr(1)) - 1;
 }
 
@@ -75,12 +75,12 @@
   }
   if (row.first == FirstSendState::kRunning) fleet.SetBackends("hold=1");
   const std::string id = NewRequestId("booking");
-  HttpAnswer first;
+  HttpResponse first;
   bool first_ended = false;
   fleet.Send(0,
              MakeRequest("POST", "/book?ms=0&bytes=" + std::to_string(row.bytes),
                          {{"X-Test-Id", id}, {"Damaskhollow-Request-Id", id}}),
-             [&](const HttpAnswer& response) {
+             [&](const HttpResponse& response) {
                first = response;
                first_ended = true;
              });
@@ -106,7 +106,7 @@
   }
   // A home whose link was just lost is reported as unreachable until the link is re-established or
   // abandoned.
-  HttpAnswer second;
+  HttpResponse second;
   CPPUNIT_ASSERT_MESSAGE(
       fleet.NodeOutput(), WaitUntil([&] {
         second = SendBooking(fleet, ingress, id, row.bytes);
@@ -148,7 +148,7 @@
 void RefusesInvalidId(const InvalidIdCase& row) {
   Fleet fleet({.servers = SmallFleet(1)});
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), fleet.Start());
-  const HttpAnswer response = SendBooking(fleet, 0, std::string(row.id), 0);
+  const HttpResponse response = SendBooking(fleet, 0, std::string(row.id), 0);
   CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("request_id_invalid"),
                                response.ReasonName());
   CPPUNIT_ASSERT_EQUAL(0, fleet.RunsOf(row.id).ran);
--- a/tests/integration/tst_silentlink.cpp
+++ b/tests/integration/tst_silentlink.cpp
@@ -50,7 +50,7 @@
 class SilentLinkRun {
  public:
   explicit SilentLinkRun(const SilentCase& row)
-      : m_row(row), m_fleet({.servers = FrontedFleet(3, 8), .proxy_peers = true}) {}
+      : m_row(row), m_fleet({.servers = FleetWithIngressOnlyNode(3, 8), .proxy_peers = true}) {}
 
   void Run() {
     CPPUNIT_ASSERT_MESSAGE(m_fleet.NodeOutput(), m_fleet.Start());
@@ -77,7 +77,7 @@
         std::string(m_row.path) + "?ms=0&bytes=" + std::to_string(m_row.bytes);
     for (std::size_t call = 0; call < kCalls; ++call) {
       m_fleet.Send(0, MakeRequest(m_row.method, target, {{"X-Test-Id", IdOf(call)}}),
-                   [this, call](const HttpAnswer& response) {
+                   [this, call](const HttpResponse& response) {
                      m_responses[call] = response;
                      ++m_ended;
                    });
@@ -110,7 +110,7 @@
   }
 
   void CheckCall(std::size_t call) {
-    const HttpAnswer& response = m_responses[call];
+    const HttpResponse& response = m_responses[call];
     const RunCounts runs = m_fleet.RunsOf(IdOf(call));
     const std::string text = response.Describe() + "; ran " + std::to_string(runs.ran);
     const std::string outcome = response.Outcome();
@@ -130,7 +130,7 @@
 
   const SilentCase& m_row;
   Fleet m_fleet;
-  std::array<HttpAnswer, kCalls> m_responses;
+  std::array<HttpResponse, kCalls> m_responses;
   std::size_t m_ended = 0;
 };
 
--- a/tests/integration/tst_slowcallers.cpp
+++ b/tests/integration/tst_slowcallers.cpp
@@ -83,7 +83,7 @@
   const SlowCallers crowd(fleet.Caller(0), row.callers, row.first_bytes);
   double max_bytes = 0.0;
   for (int call = 0; call < kCalls; ++call) {
-    const HttpAnswer response = fleet.Call(0, "GET", row.path);
+    const HttpResponse response = fleet.Call(0, "GET", row.path);
     CPPUNIT_ASSERT_EQUAL_MESSAGE(response.Describe(), std::string("answered"), response.Outcome());
     max_bytes = std::max(max_bytes, fleet.Metric(0, "damaskhollow_process_resident_memory_bytes "));
     RunFor(kCallInterval);
--- a/tests/support/faultproxy/proxypair.cpp
+++ b/tests/support/faultproxy/proxypair.cpp
@@ -48,16 +48,16 @@
     connection.up = std::make_unique<Relay>(*connection.client, *connection.server, m_up);
     connection.down = std::make_unique<Relay>(*connection.server, *connection.client, m_down);
     connect(connection.client.get(), &QTcpSocket::disconnected, this,
-            [this, id] { NoteClosed(id, true); });
+            [this, id] { OnClosed(id, true); });
     connect(connection.server.get(), &QTcpSocket::disconnected, this,
-            [this, id] { NoteClosed(id, false); });
+            [this, id] { OnClosed(id, false); });
     connect(connection.server.get(), &QTcpSocket::errorOccurred, this, [this, id] {
       const auto found = m_connections.find(id);
       if (found == m_connections.end()) return;
-      if (found->second.server->state() == QAbstractSocket::UnconnectedState) NoteClosed(id, false);
+      if (found->second.server->state() == QAbstractSocket::UnconnectedState) OnClosed(id, false);
     });
     connect(connection.server.get(), &QTcpSocket::connected, this, [this, id] {
-      // Options set before the connection was made do not stick.
+      // Socket options set before the connection is established have no effect.
       m_connections.at(id).server->setSocketOption(QAbstractSocket::LowDelayOption, 1);
     });
     if (m_blackhole) {
@@ -70,7 +70,7 @@
   }
 }
 
-void ProxyPair::NoteClosed(int id, bool by_client) {
+void ProxyPair::OnClosed(int id, bool by_client) {
   const auto found = m_connections.find(id);
   if (found == m_connections.end()) return;
   Connection& connection = found->second;
@@ -78,12 +78,12 @@
   const bool server_open = connection.server->state() == QAbstractSocket::ConnectedState ||
                            connection.server->state() == QAbstractSocket::ConnectingState;
   if (connection.silent) {
-    // The other end must not learn of the close.
+    // The close is not forwarded to the other end, like all else on a silent connection.
     if (!client_open && !server_open) Remove(id);
     return;
   }
-  if (by_client && server_open) return connection.up->NoteSenderClosed();
-  if (!by_client && client_open) return connection.down->NoteSenderClosed();
+  if (by_client && server_open) return connection.up->OnSenderClosed();
+  if (!by_client && client_open) return connection.down->OnSenderClosed();
   Remove(id);
 }
 
@@ -94,7 +94,7 @@
   m_connections.erase(found);
   connection.client->disconnect(this);
   connection.server->disconnect(this);
-  // One of these may be the sender of the present event.
+  // One of these may be the source of the current event.
   connection.up.release()->deleteLater();
   connection.down.release()->deleteLater();
   connection.client->abort();
--- a/tests/support/fleetdemo/main.cpp
+++ b/tests/support/fleetdemo/main.cpp
@@ -26,11 +26,11 @@
 
 constexpr int kServiceMs = 40;
 constexpr int kSlots = 4;
-constexpr std::chrono::seconds kEndLimit{60};
-constexpr int kLongestSeconds = 600;
-constexpr int kLongestStaySeconds = 3600;
+constexpr std::chrono::seconds kCompletionTimeout{60};
+constexpr int kMaxLoadSeconds = 600;
+constexpr int kMaxStaySeconds = 3600;
 
-// One kind of calls of the demo. The rates follow a capacity of 6 x 4 slots / 40 ms = 600 calls/s.
+// A stream of calls. The rates are set for a capacity of 6 x 4 slots / 40 ms = 600 calls/s.
 struct DemoStream {
   const char* name;
   const char* method;
@@ -45,20 +45,20 @@
     DemoStream{"bulk", "GET", "/bulk", 50.0},
 };
 constexpr std::size_t kBulkStream = 3;
-// Ten times what the six backend servers can take would keep the generator busier than the nodes;
-// twice is enough to fill all slots and queues.
+// Twice the capacity of the six backend servers is enough to fill all slots and queues. Ten times
+// the capacity would load the generator more than the nodes.
 constexpr double kFloodCallsPerSecond = 1200.0;
 
 std::vector<FleetServer> DemoServers() {
-  constexpr std::array kPlaces{std::pair{"west", "w1"}, std::pair{"east", "e1"},
-                               std::pair{"west", "w2"}, std::pair{"east", "e2"}};
+  constexpr std::array kLocations{std::pair{"west", "w1"}, std::pair{"east", "e1"},
+                                  std::pair{"west", "w2"}, std::pair{"east", "e2"}};
   constexpr std::size_t kServers = 6;
   std::vector<FleetServer> servers;
   for (std::size_t index = 0; index < kServers; ++index) {
     FleetServer server;
     server.id = "s" + std::to_string(index + 1);
-    server.region = kPlaces[index % kPlaces.size()].first;
-    server.data_centre = kPlaces[index % kPlaces.size()].second;
+    server.region = kLocations[index % kLocations.size()].first;
+    server.data_centre = kLocations[index % kLocations.size()].second;
     server.slots = kSlots;
     server.backend_arguments = {"--service-ms=" + std::to_string(kServiceMs)};
     servers.push_back(server);
@@ -82,7 +82,7 @@
   return streams;
 }
 
-// The reasons of the calls that were not answered; "-" if there are none.
+// Returns the reasons of the calls that were not answered, with counts; "-" if there are none.
 std::string ReasonsText(const LoadCounts& counts) {
   std::string text;
   for (const auto& [reason, count] : counts.by_reason) {
@@ -94,11 +94,11 @@
   return text.empty() ? "-" : text;
 }
 
-// Prints the table and returns whether every call is accounted for.
-bool Report(const LoadGenerator& load) {
+// Prints the results and returns whether each call ended with the outcome "answered" or "not-run".
+bool PrintReport(const LoadGenerator& load) {
   TextTable table("calls by priority", {"stream", "sent", "answered", "not-run", "unknown",
                                         "p50 ms", "p99 ms", "reasons"});
-  bool is_accounted = true;
+  bool all_accounted_for = true;
   for (std::size_t index = 0; index < kStreams.size(); ++index) {
     const LoadCounts& counts = load.Counts(index);
     const std::size_t answered = counts.Count("answered");
@@ -108,11 +108,11 @@
                   std::to_string(not_run), std::to_string(unknown),
                   FormatNumber(counts.Quantile(0.5), 1), FormatNumber(counts.Quantile(0.99), 1),
                   ReasonsText(counts)});
-    // The demo injects no fault, so no outcome may be unknown.
-    is_accounted = is_accounted && answered + not_run == counts.sent && unknown == 0;
+    // The demo injects no faults, so no outcome may be unknown.
+    all_accounted_for = all_accounted_for && answered + not_run == counts.sent && unknown == 0;
   }
   table.Print(std::cout);
-  return is_accounted;
+  return all_accounted_for;
 }
 
 int RunDemo(std::chrono::seconds duration, std::uint64_t seed) {
@@ -131,20 +131,22 @@
   load.SetRate(kBulkStream, kFloodCallsPerSecond);
   damaskhollow::test::RunFor(duration / 3);
   load.SetRate(kBulkStream, kStreams[kBulkStream].calls_per_second);
-  if (!damaskhollow::test::WaitUntil([&] { return load.IsDone(); }, duration + kEndLimit)) {
+  if (!damaskhollow::test::WaitUntil([&] { return load.IsDone(); },
+                                     duration + kCompletionTimeout)) {
     std::cerr << "calls are still open after the end of the load\n";
     return 1;
   }
-  const bool is_accounted = Report(load);
-  if (!is_accounted) std::cerr << "what the nodes printed:\n" << fleet.NodeOutput() << '\n';
-  std::cout << (is_accounted ? "every call is accounted for: answered + not-run = sent"
-                             : "NOT every call is accounted for")
+  const bool all_accounted_for = PrintReport(load);
+  if (!all_accounted_for) std::cerr << "what the nodes printed:\n" << fleet.NodeOutput() << '\n';
+  std::cout << (all_accounted_for ? "every call is accounted for: answered + not-run = sent"
+                                  : "NOT every call is accounted for")
             << std::endl;
-  return is_accounted ? 0 : 1;
+  return all_accounted_for ? 0 : 1;
 }
 
-// Starts the fleet with the platform stand-in and leaves it up for operators to try commands on.
-int Stay(std::chrono::seconds duration) {
+// Starts the fleet with the platform stand-in and keeps it running for `duration`, so that
+// operators can try commands on it.
+int KeepFleetRunning(std::chrono::seconds duration) {
   Fleet fleet(FleetOptions{.servers = DemoServers(), .with_platform = true});
   if (!fleet.Start()) {
     std::cerr << "the fleet did not start:\n" << fleet.NodeOutput() << '\n';
@@ -176,13 +178,13 @@
   parser.addHelpOption();
   parser.addOptions({{"seconds", "Length of the load, 3 to 600.", "N", "9"},
                      {"seed", "Seed of the load.", "N", "1"},
-                     {"stay", "No load: leave the fleet up for so many seconds, 1 to 3600.", "N"}});
+                     {"stay", "No load: keep the fleet running for N seconds, 1 to 3600.", "N"}});
   parser.process(application);
   if (parser.isSet("stay")) {
-    const int stay_seconds = std::clamp(parser.value("stay").toInt(), 1, kLongestStaySeconds);
-    return Stay(std::chrono::seconds(stay_seconds));
+    const int stay_seconds = std::clamp(parser.value("stay").toInt(), 1, kMaxStaySeconds);
+    return KeepFleetRunning(std::chrono::seconds(stay_seconds));
   }
-  const int seconds = std::clamp(parser.value("seconds").toInt(), 3, kLongestSeconds);
+  const int seconds = std::clamp(parser.value("seconds").toInt(), 3, kMaxLoadSeconds);
   const std::uint64_t seed = parser.value("seed").toULongLong();
   return RunDemo(std::chrono::seconds(seconds), seed);
 }
--- a/tests/support/httpserver.cpp
+++ b/tests/support/httpserver.cpp
@@ -11,13 +11,13 @@
 constexpr std::size_t kBodyLimitBytes = 64UL * 1024UL * 1024UL;
 constexpr std::size_t kBodyBudgetBytes = 512UL * 1024UL * 1024UL;
 constexpr int kListenBacklog = 1024;
-// Longer than any test, so that the stand-in closes no connection of its own accord.
+// Longer than any test, so that the stand-in never closes an idle connection.
 constexpr int kIdleTimeoutMs = 3600000;
 
 }  // namespace
 
-HttpServer::HttpServer(RequestHandler handle, GoneHandler gone)
-    : m_handle(std::move(handle)), m_gone(std::move(gone)), m_budget(kBodyBudgetBytes) {
+HttpServer::HttpServer(RequestHandler handle, ClosedHandler on_closed)
+    : m_handle(std::move(handle)), m_on_closed(std::move(on_closed)), m_budget(kBodyBudgetBytes) {
   setListenBacklogSize(kListenBacklog);
 }
 
@@ -32,8 +32,8 @@
   return found == m_connections.end() ? nullptr : found->second.get();
 }
 
-void HttpServer::Answer(ConnectionId connection, int status, std::string_view body,
-                        std::vector<HttpHeader> headers) {
+void HttpServer::SendResponse(ConnectionId connection, int status, std::string_view body,
+                              std::vector<HttpHeader> headers) {
   CallerConnection* caller = Find(connection);
   if (caller == nullptr) return;
   HttpResponseHead head;
@@ -46,8 +46,8 @@
   caller->FinishResponse(number);
 }
 
-void HttpServer::AnswerChunked(ConnectionId connection, int status, std::string_view body,
-                               std::size_t chunk_bytes, std::vector<HttpHeader> headers) {
+void HttpServer::SendChunkedResponse(ConnectionId connection, int status, std::string_view body,
+                                     std::size_t chunk_bytes, std::vector<HttpHeader> headers) {
   CallerConnection* caller = Find(connection);
   if (caller == nullptr) return;
   HttpResponseHead head;
@@ -75,20 +75,20 @@
 }
 
 void HttpServer::OnBadRequest(ExchangeId exchange, Reason reason) {
-  Answer(exchange.connection, InfoOf(reason).http_status, InfoOf(reason).name);
+  SendResponse(exchange.connection, InfoOf(reason).http_status, InfoOf(reason).name);
 }
 
 void HttpServer::OnBodySent(ExchangeId, std::size_t) {}
 
 void HttpServer::OnCallerDisconnected(ConnectionId connection) {
   Remove(connection);
-  if (m_gone) m_gone(connection);
+  if (m_on_closed) m_on_closed(connection);
 }
 
 void HttpServer::Remove(ConnectionId connection) {
   const auto found = m_connections.find(connection);
   if (found == m_connections.end()) return;
-  found->second.release()->deleteLater();  // It may be the sender of the present event.
+  found->second.release()->deleteLater();  // It may be the source of the current event.
   m_connections.erase(found);
 }
 
--- a/tests/support/standin-platform/main.cpp
+++ b/tests/support/standin-platform/main.cpp
@@ -5,21 +5,21 @@
 
 #include "platform.h"
 
-// Usage: standin-platform --listen 127.0.0.1:PORT. Prints "listening on IP:PORT" when it is ready;
-// port 0 lets the system choose.
+// Usage: standin-platform --listen 127.0.0.1:PORT. Prints "listening on IP:PORT" when it is ready.
+// With port 0 the system chooses a port.
 int main(int argc, char** argv) {
   using damaskhollow::Endpoint;
-  constexpr int kUsageStatus = 2;
+  constexpr int kUsageExitStatus = 2;
   std::signal(SIGPIPE, SIG_IGN);
   QCoreApplication application(argc, argv);
   if (argc != 3 || std::string_view(argv[1]) != "--listen") {
     std::cerr << "usage: standin-platform --listen IP:PORT\n";
-    return kUsageStatus;
+    return kUsageExitStatus;
   }
   const damaskhollow::Result<Endpoint> endpoint = damaskhollow::ParseEndpoint(argv[2]);
   if (!endpoint) {
     std::cerr << damaskhollow::Describe(endpoint.error()) << '\n';
-    return kUsageStatus;
+    return kUsageExitStatus;
   }
   damaskhollow::test::Platform platform;
   if (!platform.Open(endpoint.value())) {
--- a/tests/support/standin-platform/platform.h
+++ b/tests/support/standin-platform/platform.h
@@ -17,11 +17,16 @@
 
 namespace damaskhollow::test {
 
-// Stand-in for the platform's configuration service and VM list (docs/platform.md).
+// Stand-in for the platform's configuration service (/v1/configuration) and VM list (/v1/vms). A
+// read with `after` is a long poll: it waits up to `wait_ms` for a version newer than `after`.
+// Tests set the documents with /control/configuration and /control/vms. With /control/down?on=1 all
+// reads are aborted; with /control/frozen?on=1 reads return the documents as of that time.
+// /control/reads returns the number of configuration reads.
 class Platform : public QTcpServer, public CallerEvents {
  public:
   Platform();
 
+  // Returns false if the server cannot listen on the address.
   bool Open(const Endpoint& endpoint);
 
  private:
@@ -34,8 +39,8 @@
 
   using Values = std::array<Value, 2>;  // Indexed by Resource.
 
-  // A read that is answered when a newer version comes or its wait ends.
-  struct WaitingRead {
+  // A read that completes when a newer version is set or its wait time has expired.
+  struct PendingRead {
     ConnectionId connection;
     Resource resource = Resource::kConfiguration;
     std::uint64_t after = 0;
@@ -51,25 +56,25 @@
   void OnCallerDisconnected(ConnectionId connection) override;
 
   void Read(ConnectionId connection, Resource resource, const QUrl& url);
-  void EndWait(std::uint64_t wait);
-  void AnswerWaitingReads();
+  void OnReadWaitExpired(std::uint64_t read_id);
+  void CompletePendingReads();
   void Control(ConnectionId connection, const HttpRequest& request, const QUrl& url);
   void PutConfiguration(ConnectionId connection, const HttpRequest& request);
   void PutVms(ConnectionId connection, const HttpRequest& request);
   void SetDown(bool is_down);
   void SetFrozen(bool is_frozen);
-  void AnswerValue(ConnectionId connection, Resource resource);
-  void AnswerNotModified(ConnectionId connection, Resource resource);
-  void Answer(ConnectionId connection, int status, std::string_view body);
+  void SendValue(ConnectionId connection, Resource resource);
+  void SendNotModified(ConnectionId connection, Resource resource);
+  void SendResponse(ConnectionId connection, int status, std::string_view body);
   const Value& Served(Resource resource) const;
 
   std::map<ConnectionId, std::unique_ptr<CallerConnection>> m_connections;
-  std::map<std::uint64_t, WaitingRead> m_waiting;
+  std::map<std::uint64_t, PendingRead> m_pending_reads;
   std::uint64_t m_last_connection = 0;
-  std::uint64_t m_last_wait = 0;
+  std::uint64_t m_last_read_id = 0;
   std::uint64_t m_reads = 0;
-  Values m_current;
-  Values m_at_freeze;
+  Values m_current_values;
+  Values m_frozen_values;
   bool m_is_down = false;
   bool m_is_frozen = false;
   BodyBudget m_budget;
--- a/tests/support/testmain.cpp
+++ b/tests/support/testmain.cpp
@@ -19,17 +19,17 @@
 
 namespace {
 
-void CollectLeaves(CppUnit::Test& test, std::vector<CppUnit::Test*>& leaves) {
+void CollectTestCases(CppUnit::Test& test, std::vector<CppUnit::Test*>& test_cases) {
   if (test.getChildTestCount() == 0) {
-    if (test.countTestCases() > 0) leaves.push_back(&test);
+    if (test.countTestCases() > 0) test_cases.push_back(&test);
     return;
   }
   for (int index = 0; index < test.getChildTestCount(); ++index) {
-    CollectLeaves(*test.getChildTestAt(index), leaves);
+    CollectTestCases(*test.getChildTestAt(index), test_cases);
   }
 }
 
-// The entries of KNOWN-RED.txt begin with "test: NAME".
+// Reads the names of known failing tests; each entry of the file begins with "test: NAME".
 std::set<std::string> KnownRedTests() {
   constexpr std::string_view kKey = "test: ";
   std::set<std::string> names;
@@ -58,7 +58,7 @@
   const std::set<std::string> known_red = KnownRedTests();
   CppUnit::Test* suite = CppUnit::TestFactoryRegistry::getRegistry().makeTest();
   std::vector<CppUnit::Test*> tests;
-  CollectLeaves(*suite, tests);
+  CollectTestCases(*suite, tests);
 
   CppUnit::TestResult result;
   CppUnit::TestResultCollector collector;
