--- a/src/libs/declaration/declarationparser.cpp
+++ b/src/libs/declaration/declarationparser.cpp
@@ -98,8 +98,9 @@
   if (reader.Has("shed_status")) {
     service.shed_status = static_cast<int>(reader.Integer("shed_status", 400, 599));
   }
-  if (reader.Has("subset_size"))
+  if (reader.Has("subset_size")) {
     service.subset_size = reader.Integer("subset_size", 1, kMaxServers);
+  }
   if (reader.Has("health")) {
     JsonReader health = reader.Object("health");
     service.health = ReadHealth(health);
@@ -161,9 +162,10 @@
   }
   double sum = 0.0;
   for (const RoutePart& part : route.parts) sum += part.weight;
-  if (sum <= 0.0)
+  if (sum <= 0.0) {
     reader.AddFailure(FailureCode::kImpossibleShare, "parts",
                       "must have a total weight greater than zero");
+  }
   return route;
 }
 
--- a/src/libs/http/callerconnection.cpp
+++ b/src/libs/http/callerconnection.cpp
@@ -316,8 +316,9 @@
   QMetaObject::invokeMethod(
       this,
       [this] {
-        if (m_state == State::kWaitingForTurn && CanDispatch(m_request.method))
+        if (m_state == State::kWaitingForTurn && CanDispatch(m_request.method)) {
           return AcceptRequest();
+        }
         ReadMore();
       },
       Qt::QueuedConnection);
--- a/src/libs/ingress/ingressshard.cpp
+++ b/src/libs/ingress/ingressshard.cpp
@@ -162,8 +162,9 @@
   const std::uint64_t load_query_id = call.load_query_id;
   QTimer::singleShot(kLoadQueryTimeout, &m_timer, [this, exchange, load_query_id] {
     PendingCall* waiting = FindCall(exchange);
-    if (waiting != nullptr && waiting->load_query_id == load_query_id)
+    if (waiting != nullptr && waiting->load_query_id == load_query_id) {
       FinishLoadQuery(exchange, *waiting);
+    }
   });
   for (const BackendServerId& server : servers) {
     wire::Envelope message;
@@ -352,8 +353,9 @@
   if (attempt == nullptr) return;
   const ExchangeId exchange = attempt->exchange;
   PendingCall& call = m_calls.at(exchange);
-  if (call.relayed_attempt == id)
+  if (call.relayed_attempt == id) {
     return HandleUnknownOutcome(id, reason);  // Part of its response arrived.
+  }
   AllowRetryOnServer(call, attempt->server, reason);
   ++(ReachedServer(reason) ? call.arrivals : call.refusals);
   // Owners retain ended calls for a limited time, so a refusal this late is no proof of not-run.
@@ -701,8 +703,9 @@
 
 void IngressShard::CheckDeadline(ExchangeId exchange, PendingCall& call, TimePoint now) {
   if (now > call.deadline + kDeadlineGrace) {
-    if (call.relayed_attempt.value != 0)
+    if (call.relayed_attempt.value != 0) {
       return HandleUnknownOutcome(call.relayed_attempt, Reason::kAnswerTruncated);
+    }
     return RespondWithReason(exchange, Reason::kLinkSilent);
   }
   if (call.cancelled_at_deadline || call.relayed_attempt.value != 0) return;
--- a/src/libs/owner/retransmitcache.cpp
+++ b/src/libs/owner/retransmitcache.cpp
@@ -48,8 +48,9 @@
 
 void RetransmitCache::EvictExpired(TimePoint now) {
   while (!m_oldest_first.empty() &&
-         now - m_entries.at(m_oldest_first.front()).stored_at > m_max_age)
+         now - m_entries.at(m_oldest_first.front()).stored_at > m_max_age) {
     EvictOldest();
+  }
 }
 
 const RetransmitBuffer* RetransmitCache::Find(const CallKey& key) const {
--- a/src/libs/settings/nodesettings.cpp
+++ b/src/libs/settings/nodesettings.cpp
@@ -261,8 +261,9 @@
     }
     loaded.lines.push_back(std::move(line));
   }
-  if (Result<void> result = CheckConfigurationSource(loaded.settings); !result)
+  if (Result<void> result = CheckConfigurationSource(loaded.settings); !result) {
     return result.error();
+  }
   return loaded;
 }
 
--- a/src/libs/wire/peertransport.cpp
+++ b/src/libs/wire/peertransport.cpp
@@ -131,8 +131,10 @@
                                      const std::string& public_key) {
   const auto existing = m_links.find(peer);
   if (existing != m_links.end()) {
-    if (existing->second.RemoteEndpoint() == endpoint && existing->second.PublicKey() == public_key)
+    if (existing->second.RemoteEndpoint() == endpoint &&
+        existing->second.PublicKey() == public_key) {
       return;
+    }
     CloseLink(peer);
   }
   DialledLink& link = m_links.emplace(peer, DialledLink(endpoint, public_key)).first->second;
@@ -223,8 +225,9 @@
 }
 
 void PeerTransport::Worker::ReadAccepted() {
-  while (std::optional<AcceptedMessage> accepted = m_accepted->Receive())
+  while (std::optional<AcceptedMessage> accepted = m_accepted->Receive()) {
     HandleAcceptedMessage(*accepted);
+  }
 }
 
 void PeerTransport::Worker::HandleAcceptedMessage(const AcceptedMessage& accepted) {
--- a/src/tools/damaskhollow/tracecommand.cpp
+++ b/src/tools/damaskhollow/tracecommand.cpp
@@ -47,8 +47,9 @@
   std::vector<LogLine> lines;
   for (const std::string& name : arguments.at("FILE").asStringList()) {
     std::ifstream file(name);
-    if (!file)
+    if (!file) {
       return Failure{FailureCode::kFileUnreadable, name, "cannot open the file for reading"};
+    }
     for (std::string text; std::getline(file, text);) {
       if (FieldOf(text, "request") == id) lines.push_back({FieldOf(text, "time"), name, text});
     }
--- a/tests/auto/policy/admissionsimulation.cpp
+++ b/tests/auto/policy/admissionsimulation.cpp
@@ -43,15 +43,17 @@
       } else {
         Complete(OwnedCallId{value});
       }
-      for (const OwnedCallId id : m_queue.PopExpired(m_now))
+      for (const OwnedCallId id : m_queue.PopExpired(m_now)) {
         RemoveQueued(id, &PriorityStatistics::expired);
+      }
       for (const OwnedCallId id : m_queue.PopDispatchable(m_now)) Dispatch(id);
     }
     const double slot_time = static_cast<double>(m_options.measurement_time.count()) *
                              static_cast<double>(m_options.slots);
     m_result.used_slot_time /= slot_time;
-    for (PriorityStatistics& statistics : m_result.priorities)
+    for (PriorityStatistics& statistics : m_result.priorities) {
       statistics.slot_time_share /= slot_time;
+    }
     return m_result;
   }
 
@@ -80,8 +82,9 @@
     PriorityStatistics& statistics = m_result.priorities[index];
     if (IsMeasured(m_now)) ++statistics.offered;
     const Admission admission = m_queue.Offer({id, index, call.deadline, 100}, m_now);
-    for (const OwnedCallId evicted : admission.evicted)
+    for (const OwnedCallId evicted : admission.evicted) {
       RemoveQueued(evicted, &PriorityStatistics::evicted);
+    }
     if (admission.refusal != Reason::kNone) {
       if (IsMeasured(m_now)) ++statistics.refused;
       return;
