--- a/src/libs/configuration/fetchplan.cpp
+++ b/src/libs/configuration/fetchplan.cpp
@@ -7,12 +7,14 @@
 
 namespace {
 
-// How long each reader of a region has before the next one also fetches over the paid link. Covers
-// the transfer of one 64 KB part over the link with a round-trip time of 60 ms.
+// How long after one reader's turn begins the next reader's turn begins. From its turn on, a reader
+// may fetch over the paid link. Covers the transfer of one 64 KB part over the link with a
+// round-trip time of 60 ms.
 constexpr std::chrono::milliseconds kTurnDuration{300};
 constexpr std::chrono::milliseconds kPeerRetryDelay{1000};
-// Retries of a service that is down start at 0.5 s and back off to one in 5 s, because a change
-// must be active 5 s after the service accepted it.
+// Longest first and later delay before a retry of a service that is down. With jitter, the first
+// retry follows after 0.25 to 0.5 s, and later ones back off to 2.5 to 5 s, because a change must
+// be active 5 s after the service accepted it.
 constexpr std::chrono::milliseconds kInitialRetryDelay{500};
 constexpr std::chrono::milliseconds kMaxRetryDelay{5000};
 constexpr unsigned kMaxDoublings = 4;
@@ -77,7 +79,7 @@
   if (peer.version <= m_held) return false;
   if (peer.not_before && now < *peer.not_before) return false;
   if (DistanceOf(peer) < 2 || m_assignment.region_readers.empty()) return true;
-  // Without readers, no other node of the region could fetch it.
+  // If the region has no readers, no other node of the region could fetch the peer's version.
   if (m_assignment.region_readers.empty()) return true;
   const std::optional<TimePoint> turn = PaidLinkTurn();
   return turn && now >= *turn;
@@ -104,7 +106,8 @@
 std::optional<StoreRead> FetchPlan::StoreReadDue(TimePoint now) const {
   const std::optional<TimePoint> turn = PaidLinkTurn();
   const bool is_overdue = m_highest_known > m_store_version && turn && now >= *turn;
-  // One extra read per reported version, as the running read may be on a silent connection.
+  // One extra read per reported version is allowed even while a read runs, because the connection
+  // of the running read may no longer transfer data.
   if (is_overdue && m_read_started < m_highest_known_since && now >= m_retry_not_before) {
     return StoreRead{m_store_version, {}};
   }
@@ -135,7 +138,7 @@
 void FetchPlan::OnStoreReadUnchanged(TimePoint now) {
   m_reading = false;
   m_failures = 0;
-  // A watcher's read without a wait returns immediately and was no long poll, so the long poll
+  // A watcher's read without a wait returns immediately and is not a long poll, so the long poll
   // starts right after it.
   const bool goes_on = m_assignment.role == ReaderRole::kWatcher && !m_read_waits;
   m_next_read = goes_on ? now : m_read_started + kStoreReadInterval;
--- a/src/libs/configuration/readerelection.h
+++ b/src/libs/configuration/readerelection.h
@@ -12,32 +12,33 @@
 
 namespace damaskhollow {
 
-// Number of nodes per data centre that read the configuration service. With two, the loss of one or
-// a silent connection delays no change.
+// Number of nodes per data centre that read the configuration service. With two, neither the
+// loss of one reader nor a silent connection of one reader delays a change.
 inline constexpr std::size_t kReadersPerDataCentre = 2;
 
-// How long the watchers of a region other than the first pause after a change, so that a series of
-// changes is read once per region instead of by each of them. Short enough that a change reaches
-// all nodes within the platform's bound of 2.5 s even if the first watcher is lost.
+// How long a reader that is not the first of its own region pauses after a change, so that a series
+// of changes is read once per region instead of once by each watcher of the region. The pause is
+// short enough that a change reaches all nodes within 2.5 s, the platform's bound, even if the
+// first watcher of the region is lost.
 inline constexpr std::chrono::milliseconds kSuccessorPause{750};
 
-// The same for a node that the inventory does not list. While a fleet starts, all nodes are
-// unlisted for some seconds, in which the entries of all arrive. After an outage of the store in
-// which all entries expired, peers may be unlisted too, so the pause must not exceed the time
-// within which a change must be active.
+// How long a node that the inventory does not list pauses after a change. While a fleet starts, all
+// nodes are unlisted for some seconds, in which the entries of all nodes arrive. After an outage of
+// the store in which all entries expired, the peers of the node may be unlisted too, so the pause
+// must not exceed the time within which a change must be active.
 inline constexpr std::chrono::milliseconds kUnlistedPause{1000};
 
-// How a node obtains the documents of the platform's services.
+// Determines how a node obtains the documents of the platform's services.
 enum class ReaderRole {
-  kFollower,  // Fetches from peers only.
-  kStandby,   // Reads the service every 30 s; otherwise relies on the region's first reader.
+  kFollower,  // Fetches the documents from peers only.
+  kStandby,   // Reads the service every 30 s; otherwise relies on its own region's first reader.
   kWatcher,   // Watches the service by long polling.
 };
 
 // Returns the name shown in /status: follower, standby or watcher.
 std::string_view ReaderRoleName(ReaderRole role);
 
-// The role of one node and the readers of its region.
+// The role of one node and the readers of that node's region.
 struct ReaderAssignment {
   ReaderRole role = ReaderRole::kFollower;
   std::vector<BackendServerId> region_readers;  // In the order in which they use the paid link.
@@ -45,8 +46,8 @@
 };
 
 // Returns the live nodes of a data centre in the order in which they become readers. Every node
-// computes the same order from the same live nodes, and the loss of a node moves only its
-// successors.
+// computes the same order from the same live nodes, and the loss of a node moves only the
+// nodes after it.
 std::vector<BackendServerId> ReaderOrder(std::span<const FleetNode> live,
                                          const DataCentreId& data_centre);
 
--- a/src/libs/fleet/linkplan.cpp
+++ b/src/libs/fleet/linkplan.cpp
@@ -25,6 +25,8 @@
   for (const BackendServer& server : declaration.backend_servers) {
     if (server.id == self) continue;
     needs.inventory.push_back(server.id);
+    // Before a call with a request id runs, its owner may ask the other owners of its service to
+    // release the id.
     const bool is_queried = has_request_ids && own != nullptr && server.service == own->service;
     if (is_queried) needs.own_service.push_back(server.id);
   }
@@ -32,6 +34,8 @@
     std::vector<BackendServerId>& subset = needs.subsets[service];
     subset = subset_of(service);
     std::erase(subset, self);
+    // Any server of the service may be the home of a request id and so decide whether the request
+    // may run.
     if (!has_request_ids) continue;
     for (const BackendServer* server : declaration.ServersOf(service)) {
       if (server->id != self) subset.push_back(server->id);
@@ -47,6 +51,7 @@
   for (const auto& [service, used] : m_last_use) {
     if (now - used < kIdleClose) recent.emplace_back(used, service);
   }
+  // Most recently used first, so that kMaxLinks excludes the servers of the least recent services.
   std::sort(recent.begin(), recent.end(), std::greater<>());
   std::vector<ServiceId> services;
   services.reserve(recent.size());
@@ -59,6 +64,7 @@
     return {needs.inventory.begin(), needs.inventory.end()};
   }
   std::set<BackendServerId> wanted;
+  // Set by ControlService; LinkNeedsOf leaves the control links empty.
   AddUpToLimit(wanted, needs.control);
   AddUpToLimit(wanted, needs.own_service);
   for (const ServiceId& service : UsedServices(now)) {
--- a/src/libs/logging/logger.cpp
+++ b/src/libs/logging/logger.cpp
@@ -25,8 +25,8 @@
 
 namespace sinks = boost::log::sinks;
 
-// Capacity of the line queue. At about 300 bytes per line, a stalled reader of standard output
-// costs at most about 600 KB of memory.
+// Capacity of the line queue, which fills up if the reader of standard output stalls. At about 300
+// bytes per line, a full queue takes about 600 KB of memory.
 constexpr std::size_t kMaxQueuedLines = 2000;
 
 constexpr std::array<std::string_view, 4> kLevelNames{"debug", "info", "warning", "error"};
@@ -67,7 +67,8 @@
   BOOST_LOG_SEV(logger, level) << line;
 }
 
-// The fields that start each line: level, part and event.
+// Returns the fields that follow the time at the start of each line: level, part and event. The
+// formatter of the sink adds the time.
 std::string LinePrefix(LogPart part, LogLevel level, std::string_view event) {
   std::string line = "level=";
   line += kLevelNames[static_cast<std::size_t>(level)];
@@ -78,9 +79,10 @@
   return line;
 }
 
-// Puts a value in double quotes if it is empty or has white space, control characters, `"` or `=`,
-// which would end it. Inside the quotes, `"` becomes `'` and control characters become spaces, so
-// that the line is not broken.
+// Puts a value in double quotes if it is empty or has white space, control characters, `"` or `=`.
+// Without quotes, white space would end the value, and `=` could be taken for the separator between
+// a field and its value. Inside the quotes, `"` becomes `'` and control characters become spaces,
+// so that the line is not broken.
 std::string Quoted(std::string_view value) {
   const bool is_plain =
       !value.empty() && std::all_of(value.begin(), value.end(), [](char character) {
--- a/src/libs/settings/nodesettings.h
+++ b/src/libs/settings/nodesettings.h
@@ -24,7 +24,7 @@
   Endpoint admin_listen;
   std::string declaration_file;   // Empty if the declaration is not read from a file.
   std::string configuration_url;  // Empty if not read from the configuration service.
-  RegionId configuration_region;  // Empty if unknown.
+  RegionId configuration_region;  // Region of the configuration service; empty if unknown.
   std::map<BackendServerId, Endpoint> seed_peers;  // Queried by a node without a configuration.
   std::string vm_list_url;  // Empty: all servers of the inventory count as live.
   std::map<BackendServerId, Endpoint>
@@ -36,8 +36,11 @@
   std::size_t caller_connections = 1024;
   std::size_t body_memory_bytes = 8UL * 1024UL * 1024UL;
   std::size_t drain_timeout_ms = 600000;
+  // Time between the drain notice and closing the caller port, in milliseconds.
   std::size_t drain_announce_ms = 3000;
+  // Whether requests that crash backend servers are refused.
   bool crash_guard = true;
+  // Whether links to other nodes are replaced when they stop responding.
   bool silent_link_detection = true;
 };
 
@@ -59,8 +62,8 @@
 };
 
 // Loads the settings. Flags take precedence over DAMASKHOLLOW_* variables, and these over the
-// defaults. `arguments` excludes the program name. With --help or --version, prints the text and
-// exits the process with status 0.
+// defaults. `arguments` excludes the program name. With --help or --version, prints the help
+// or version text and exits the process with status 0.
 Result<LoadedSettings> LoadNodeSettings(std::span<const std::string> arguments,
                                         const std::map<std::string, std::string>& environment);
 
--- a/tests/benchmarks/floodmeasurement.cpp
+++ b/tests/benchmarks/floodmeasurement.cpp
@@ -69,10 +69,12 @@
   return streams;
 }
 
-// The results of a flood. The vectors are indexed like kClasses.
+// The results of a flood. The vectors are indexed like kClasses. The counts, and so the latency
+// quantiles, cover the whole run. The completed shares and the goodput cover its second half and
+// are fractions of capacity.
 struct FloodResult {
   std::vector<LoadCounts> counts;
-  std::vector<double> completed_share;  // Completed service time as a fraction of capacity.
+  std::vector<double> completed_share;  // From the planned service time of completed calls.
   std::vector<PlotSeries> over_time;    // Completed share in percent by seconds.
   double goodput = 0.0;                 // The sum of the completed shares.
 };
@@ -182,8 +184,8 @@
     floods.push_back({*deployment, AllSubjects().front(), kBulkIndex});
     floods.push_back({*deployment, AllSubjects().front(), kUrgentIndex});
   }
-  // Only two baselines, each with a flood of the least urgent calls: admission at the owner is the
-  // same for all routing strategies.
+  // Of the baselines, only round_robin and direct are measured, each with one flood of the least
+  // urgent calls on Breizh, because admission at the owner is the same for all routing strategies.
   for (const Subject& subject : AllSubjects()) {
     const bool is_baseline = subject.strategy == "round_robin" || subject.IsDirect();
     if (is_baseline) floods.push_back({BreizhDeployment(), subject, kBulkIndex});
--- a/tests/integration/tst_distribution.cpp
+++ b/tests/integration/tst_distribution.cpp
@@ -78,7 +78,8 @@
   CPPUNIT_ASSERT_MESSAGE(fleet.NodeOutput(), WaitForVersionOnAll(fleet, version + 2));
 }
 
-// Guards against a restarted node that reverts to the older version of a stale service.
+// Guards against a restarted node that reverts to the older version that a stale configuration
+// service returns.
 void RestartWithStaleService(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   CPPUNIT_ASSERT(fleet.PutConfiguration(fleet.Declaration(), version + 5));
@@ -131,7 +132,7 @@
   }
 }
 
-// Guards against a server that stays out of service after its draining backend server was replaced.
+// Guards against a backend server that stays out of service after it was restarted while draining.
 void RestartedBackendServesAgain(Fleet& fleet) {
   fleet.SetBackend(1, "drain=1");
   for (std::size_t node = 0; node < fleet.Size(); ++node) {
@@ -140,7 +141,8 @@
   }
   fleet.Backend(1).Kill();
   const double probes = fleet.Metric(1, "damaskhollow_probes_total");
-  // A probe whose connection is refused shows that the old process has exited.
+  // A probe whose connection is refused shows the node that the old process has exited. Only one
+  // probe runs at a time, so the start of a second one shows that the first one has ended.
   CPPUNIT_ASSERT(
       WaitUntil([&] { return fleet.Metric(1, "damaskhollow_probes_total") >= probes + 2.0; }));
   fleet.RestartBackend(1);
@@ -151,7 +153,8 @@
 }
 
 // Guards against a node that does not serve again after a pause of its process, or serves from the
-// state before the pause: it misses a drain and a new configuration version meanwhile.
+// state before the pause. During the pause, the node misses a drain and a new configuration
+// version.
 void PausedNodeCatchesUp(Fleet& fleet) {
   const int version = VersionInForce(fleet);
   fleet.Node(3).Signal(SIGSTOP);
--- a/tests/support/faultproxy/proxycontrol.h
+++ b/tests/support/faultproxy/proxycontrol.h
@@ -10,17 +10,18 @@
 
 namespace damaskhollow::test {
 
-// Owns all pairs of a proxy process and serves the HTTP interface that controls them.
+// Owns all pairs of a proxy process and serves the HTTP interface that controls them. A pair
+// consists of an address that the proxy listens on and the target that it forwards connections to.
 // POST /control/set?pair=N&... sets the faults of pair N, counted from 0; without `pair`, or with
-// `pair=all`, of all pairs. `group=G` assigns the pair to a shared link, and `flip=1` swaps the
-// pair's directions on it. POST /control/group?group=G&bits_per_second=N limits the bandwidth of a
-// shared link in each direction. GET /control/statistics returns a JSON array with the statistics
-// of each pair.
+// `pair=all`, of all pairs. `group=G` assigns the pair to shared link G, and `flip=1` swaps the
+// pair's directions on it. POST /control/group?group=G&bits_per_second=B limits the bandwidth of
+// shared link G to B bits per second in each direction. GET /control/statistics returns a JSON
+// array with the statistics of each pair.
 class ProxyControl {
  public:
   ProxyControl();
 
-  // Return false if the proxy cannot listen on the address.
+  // Return false if the proxy cannot listen on `listen` or `control`, respectively.
   bool AddPair(const Endpoint& listen, const Endpoint& target);
   bool Listen(const Endpoint& control) { return m_server.Listen(control); }
 
